--- a/crates/cell/src/accept.rs
+++ b/crates/cell/src/accept.rs
@@ -39,7 +39,7 @@
                 continue;
             };
             let worker = self.worker_mut(&attempt.worker);
-            worker.hold(task, held(attempt.run, step));
+            worker.allocate(task, held(attempt.run, step));
             self.usage.add(sub.team.as_ref(), step.room);
         }
         let job = self.jobs.get(&id);
@@ -49,13 +49,13 @@
             self.open.remove(&id);
             self.stop_all(id);
         }
-        self.stirred = true;
+        self.reschedule = true;
     }
 
     /// Its submission may be there or not: dropping it is left to chance.
     fn restore_finished(&mut self, id: JobId, job: Finished) {
         if self.jobs.remove(&id).is_some() {
-            self.unneeded.push(id);
+            self.obsolete.push(id);
         }
         self.open.remove(&id);
         self.cancelled.remove(&id);
@@ -90,7 +90,7 @@
         if self.cancelled.remove(&id) {
             self.cancel(now, id);
         }
-        self.stirred = true;
+        self.reschedule = true;
     }
 
     fn is_over_share(&mut self, job: &Job) -> bool {
--- a/crates/cell/src/admission.rs
+++ b/crates/cell/src/admission.rs
@@ -126,7 +126,7 @@
     /// How long a job of a service that comes now waits before it begins.
     pub fn waits(&self, service: &ServiceName) -> Waits {
         let ahead = self.wait_queue.timely_tasks() as usize + self.planned.len();
-        let batches = ahead as f64 * self.admission.start / self.bounds.batch.max(1) as f64;
+        let batches = ahead as f64 * self.admission.start / self.bounds.max_batch.max(1) as f64;
         let all = spread(self.wait_queue.useful_work(), self.admission.cpu);
         let pool = self.admission.pools.get(service).copied();
         let own = spread(
--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -63,12 +63,12 @@
         if tickets.asked.is_empty() {
             let free_index = workers.free_index(service).into_iter();
             let roomy = free_index.flat_map(|r| r.emptiest(Scope::All, 0));
-            let open = roomy.filter_map(|n| workers.at(n));
-            let open = open.filter(|w| w.is_open(now) && !tickets.bad.contains(&w.id));
+            let open = roomy.filter_map(|n| workers.by_number(n));
+            let open = open.filter(|w| w.is_schedulable(now) && !tickets.bad.contains(&w.id));
             tickets.asked = open.take(NAMED).map(|w| w.id.clone()).collect();
             if !tickets.asked.is_empty() {
                 let workers = tickets.asked.clone();
-                self.out.push(Output::Ask { step, workers });
+                self.out.push(Output::RequestAdvice { step, workers });
             }
         }
         Permitted::Asked
@@ -77,7 +77,7 @@
     /// The policy service answered, or did not (`None`).
     pub fn advised(&mut self, now: Time, step: StepId, good: Option<Vec<(WorkerId, String)>>) {
         self.now = now;
-        self.stirred = true;
+        self.reschedule = true;
         let valid = self.advice_of(step).map(|a| a.valid.duration());
         let Some(tickets) = self.tickets.get_mut(&step) else {
             return;
--- a/crates/cell/src/attempt.rs
+++ b/crates/cell/src/attempt.rs
@@ -29,11 +29,11 @@
     pub(crate) run: u32,
     pub(crate) phase: Phase,
     /// Since when it is in this phase.
-    pub(crate) since: Time,
+    pub(crate) phase_since: Time,
     /// Highest fencing token that its order may carry; 0 if an earlier owner gave it.
     pub(crate) fence: u64,
     /// Whether it surely started: if so, no order can start it again.
-    pub(crate) sure: bool,
+    pub(crate) start_confirmed: bool,
     /// Whether the worker has listed it, in the life that is noted here. An answer to its order
     /// does not tell which life gave it.
     pub(crate) listed: bool,
@@ -44,7 +44,7 @@
     /// Share of its work that was done at the last look.
     pub(crate) percent: u32,
     /// When that share last rose.
-    pub(crate) moved: Time,
+    pub(crate) last_progress: Time,
     /// Tail latency, or processor in use, at the last look.
     pub(crate) gauge: u64,
     /// Share at which it was last told to work; runs start at full pace.
@@ -58,21 +58,21 @@
             born,
             run,
             phase,
-            since: now,
+            phase_since: now,
             fence: 0,
-            sure: false,
+            start_confirmed: false,
             listed: false,
             crash: None,
             started: now,
             percent: 0,
-            moved: now,
+            last_progress: now,
             gauge: 0,
             pace: Some(100),
         }
     }
 
     /// Whether a lasting run does its work.
-    pub(crate) fn is_at_work(&self) -> bool {
+    pub(crate) fn is_active(&self) -> bool {
         self.phase == Phase::Running && self.percent >= 100
     }
 
@@ -83,6 +83,6 @@
 
     pub(crate) fn enter(&mut self, phase: Phase, now: Time) {
         self.phase = phase;
-        self.since = now;
+        self.phase_since = now;
     }
 }
--- a/crates/cell/src/backlog.rs
+++ b/crates/cell/src/backlog.rs
@@ -48,12 +48,12 @@
         let was = std::mem::replace(&mut self.backlog, told);
         let waiting = self.wait_queue.len();
         let waits = self.waits(&ServiceName::from(""));
-        if waiting == 0 && self.planned.is_empty() && self.late.is_empty() {
+        if waiting == 0 && self.planned.is_empty() && self.deferred.is_empty() {
             return;
         }
         log::info!(
             waiting = waiting as u64, planned = self.planned.len() as u64,
-            late = self.late.len() as u64, unwritten = self.dirty.len() as u64,
+            late = self.deferred.len() as u64, unwritten = self.dirty.len() as u64,
             batches = was.batches, starts = was.starts, bytes = was.bytes as u64,
             link_ms = waits.link.as_millis() as u64, room_ms = waits.room.as_millis() as u64,
             writing_ms = was.writing.as_millis() as u64;
--- a/crates/cell/src/blame.rs
+++ b/crates/cell/src/blame.rs
@@ -14,24 +14,24 @@
 use crate::worker::Worker;
 
 /// Part of a service's open workers that may be reserved for suspects: the rest goes on with other work.
-const RESERVED_PART: usize = 2;
+const RESERVED_DIVISOR: usize = 2;
 
 /// Workers that are compared for a suspect, the emptiest first.
 const CANDIDATES: usize = 16;
 
 /// Time for which a suspect avoids the address of a worker that crashed: instances that go down by
 /// themselves would speak against it.
-const AVOID_CRASHED: Duration = Duration::from_secs(30);
+const AVOID_CRASHED_TTL: Duration = Duration::from_secs(30);
 
 /// Crashes that are kept of a task; those beyond that other starts explain are dropped.
-const MOST_KEPT: usize = 16;
+const MAX_CRASHES_KEPT: usize = 16;
 
 /// Time for which a silent worker's return is waited for.
-const RETURN_LIMIT: Duration = Duration::from_secs(60);
+const RETURN_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Runs that were given up with their silent worker.
 #[derive(Debug)]
-pub(crate) struct GivenUp {
+pub(crate) struct AbandonedRuns {
     /// The worker's life.
     born: u64,
     at: Time,
@@ -39,7 +39,7 @@
 }
 
 /// A run that was, or may have been, on a worker that ended.
-struct Witness {
+struct CrashedRun {
     task: TaskId,
     run: u32,
     fresh: bool,
@@ -48,7 +48,7 @@
     cleared: bool,
 }
 
-impl Witness {
+impl CrashedRun {
     /// What the worker's end says, with so many fresh runs there.
     fn crash(&self, fresh: usize, proven: bool) -> Crash {
         Crash {
@@ -71,7 +71,7 @@
         doubtful: &[(TaskId, u32)],
         proven: bool,
     ) -> Vec<TaskId> {
-        let witnesses = |runs: &[(TaskId, u32)]| -> Vec<Witness> {
+        let witnesses = |runs: &[(TaskId, u32)]| -> Vec<CrashedRun> {
             let runs = runs.iter();
             runs.filter_map(|(task, run)| self.witness(*task, *run, id))
                 .collect()
@@ -87,7 +87,7 @@
         let mut blamed = Vec::new();
         for witness in gone {
             let crash = witness.crash(fresh, proven);
-            if self.count_against(witness.task, crash, witness.cleared) {
+            if self.record_crash(witness.task, crash, witness.cleared) {
                 blamed.push(witness.task);
             }
         }
@@ -102,25 +102,25 @@
         id: &WorkerId,
     ) -> Option<TaskId> {
         let crash = self.attempt_mut(task, run, id)?.crash.take()?;
-        self.count_against(task, crash, false).then_some(task)
+        self.record_crash(task, crash, false).then_some(task)
     }
 
-    fn witness(&self, task: TaskId, run: u32, id: &WorkerId) -> Option<Witness> {
-        let alive = self.workers.get(id)?.alive;
+    fn witness(&self, task: TaskId, run: u32, id: &WorkerId) -> Option<CrashedRun> {
+        let alive = self.workers.get(id)?.last_alive;
         let attempt = self.attempt(task, run, id);
         // It was never ordered.
         let attempt = attempt.filter(|a| a.phase != Phase::Planned)?;
-        Some(Witness {
+        Some(CrashedRun {
             task,
             run,
-            fresh: !attempt.is_proven(alive),
-            started: attempt.is_own() && attempt.sure,
-            cleared: attempt.is_cleared(alive),
+            fresh: !attempt.passed_probation(alive),
+            started: attempt.is_own() && attempt.start_confirmed,
+            cleared: attempt.is_exonerated(alive),
         })
     }
 
     /// True if the task is to blame.
-    fn count_against(&mut self, id: TaskId, crash: Crash, cleared: bool) -> bool {
+    fn record_crash(&mut self, id: TaskId, crash: Crash, cleared: bool) -> bool {
         let Some(job) = self.jobs.get_mut(&id.job()) else {
             return false;
         };
@@ -135,7 +135,7 @@
         if task.done || task.crashes.iter().any(|c| c.run == crash.run) {
             return false;
         }
-        if task.crashes.len() >= MOST_KEPT
+        if task.crashes.len() >= MAX_CRASHES_KEPT
             && let Some(oldest) = task.crashes.iter().position(|c| c.explained)
         {
             task.crashes.remove(oldest);
@@ -145,23 +145,24 @@
     }
 
     /// Runs on a silent worker are given up: it has crashed, or is cut off.
-    pub(crate) fn remember_given_up(&mut self, id: &WorkerId, runs: &[(TaskId, u32)]) {
+    pub(crate) fn remember_abandoned(&mut self, id: &WorkerId, runs: &[(TaskId, u32)]) {
         let Some(worker) = self.workers.get(id).filter(|_| !runs.is_empty()) else {
             return;
         };
         let now = self.now;
-        self.given_up.retain(|_, g| now.since(g.at) < RETURN_LIMIT);
-        let given_up = GivenUp {
+        self.abandoned
+            .retain(|_, g| now.since(g.at) < RETURN_TIMEOUT);
+        let given_up = AbandonedRuns {
             born: worker.born,
             at: now,
             runs: runs.to_vec(),
         };
-        self.given_up.insert(id.clone(), given_up);
+        self.abandoned.insert(id.clone(), given_up);
     }
 
     /// A worker answers in this life. If its runs were given up in the same one, it was cut off.
-    pub(crate) fn take_back_crash(&mut self, id: &WorkerId, born: u64) {
-        let Some(given_up) = self.given_up.remove(id) else {
+    pub(crate) fn retract_crashes(&mut self, id: &WorkerId, born: u64) {
+        let Some(given_up) = self.abandoned.remove(id) else {
             return;
         };
         for (id, run) in given_up.runs {
@@ -174,7 +175,7 @@
     }
 
     /// Gives up the jobs of tasks that take their workers down.
-    pub(crate) fn give_up_jobs(&mut self, blamed: &[TaskId]) {
+    pub(crate) fn fail_crashing_jobs(&mut self, blamed: &[TaskId]) {
         for id in blamed {
             let Some(job) = self.jobs.get(&id.job()).filter(|j| j.is_open()) else {
                 continue;
@@ -185,16 +186,16 @@
                 job:% = id.job(), task:% = id, crashes = crashes, took_ms = took;
                 "job given up: it takes its workers down"
             );
-            self.tallies.given_up += 1;
+            self.tallies.jobs_given_up += 1;
             self.finish(id.job(), JobState::Failed);
         }
     }
 
     /// Whether a worker has outlived every start there.
-    fn is_settled(&self, worker: &Worker) -> bool {
-        let runs = worker.held.iter();
+    fn has_settled_runs(&self, worker: &Worker) -> bool {
+        let runs = worker.allocations.iter();
         let mut attempts = runs.map(|(t, h)| self.attempt(*t, h.run, &worker.id));
-        attempts.all(|a| a.is_some_and(|a| a.is_proven(worker.alive)))
+        attempts.all(|a| a.is_some_and(|a| a.passed_probation(worker.last_alive)))
     }
 
     /// Where a task starts that may take its worker down: where every start was outlived.
@@ -208,19 +209,19 @@
             return Placement::Wait;
         };
         let roomy = free_index.emptiest(Scope::All, constraints.step.reserved().cpu);
-        let fitting = roomy.filter_map(|n| self.workers.at(n));
+        let fitting = roomy.filter_map(|n| self.workers.by_number(n));
         let fitting = fitting.filter(|w| fits(w, constraints, now));
         let fitting: Vec<&Worker> = fitting.take(CANDIDATES).collect();
         let cost = |w: &&Worker| {
-            let crashed = w.addr.is_some_and(|a| self.has_crashed(a));
+            let crashed = w.addr.is_some_and(|a| self.crashed_recently(a));
             (crashed, is_far(w, constraints), w.used.cpu)
         };
-        let settled = fitting.iter().copied().filter(|w| self.is_settled(w));
+        let settled = fitting.iter().copied().filter(|w| self.has_settled_runs(w));
         if let Some(worker) = settled.min_by_key(cost) {
             return Placement::At(worker.id.clone());
         }
-        let most = (free_index.len() / RESERVED_PART).max(1);
-        let kept = self.workers.reserved().filter(|w| w.serves(service));
+        let most = (free_index.len() / RESERVED_DIVISOR).max(1);
+        let kept = self.workers.reserved().filter(|w| w.belongs_to(service));
         let free = fitting.into_iter().filter(|w| !w.is_reserved(now));
         match free.min_by_key(cost) {
             Some(worker) if kept.count() < most => Placement::Reserve(worker.id.clone()),
@@ -232,7 +233,7 @@
     pub(crate) fn begin_trial(&mut self, id: &WorkerId, task: TaskId) {
         log::info!(task:% = task, worker:% = id; "suspect starts apart from other starts");
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.trial = Some(task);
+            worker.trial_task = Some(task);
         }
     }
 
@@ -240,18 +241,18 @@
     pub(crate) fn end_trial(&mut self, id: &WorkerId) {
         let now = self.now;
         let worker = self.workers.get(id).filter(|w| w.is_reserved(now));
-        if !worker.is_some_and(|w| self.is_settled(w)) {
+        if !worker.is_some_and(|w| self.has_settled_runs(w)) {
             return;
         }
-        self.stirred = true;
+        self.reschedule = true;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let Some(task) = worker.trial.take() else {
+        let Some(task) = worker.trial_task.take() else {
             return;
         };
-        worker.reserved = Time::default();
-        if !worker.held.contains_key(&task) {
+        worker.reserved_until = Time::default();
+        if !worker.allocations.contains_key(&task) {
             return;
         }
         let job = self.jobs.get_mut(&task.job());
@@ -262,14 +263,15 @@
     }
 
     /// Notes where a worker has crashed.
-    pub(crate) fn note_crashed(&mut self, addr: SocketAddr) {
+    pub(crate) fn record_crash_addr(&mut self, addr: SocketAddr) {
         let now = self.now;
-        self.crashed.retain(|_, at| now.since(*at) < AVOID_CRASHED);
-        self.crashed.insert(addr, now);
+        self.crash_times
+            .retain(|_, at| now.since(*at) < AVOID_CRASHED_TTL);
+        self.crash_times.insert(addr, now);
     }
 
-    fn has_crashed(&self, addr: SocketAddr) -> bool {
-        let at = self.crashed.get(&addr);
-        at.is_some_and(|at| self.now.since(*at) < AVOID_CRASHED)
+    fn crashed_recently(&self, addr: SocketAddr) -> bool {
+        let at = self.crash_times.get(&addr);
+        at.is_some_and(|at| self.now.since(*at) < AVOID_CRASHED_TTL)
     }
 }
--- a/crates/cell/src/bounds.rs
+++ b/crates/cell/src/bounds.rs
@@ -10,13 +10,13 @@
     /// Longest lease that a worker grants.
     pub lease: Millis,
     /// Time for which a final state can be asked for.
-    pub kept: Millis,
+    pub retention: Millis,
     /// Time from a throttle order to its effect.
-    pub pace: Millis,
+    pub pace_delay: Millis,
     /// Longest time that a stop takes.
-    pub stop: Millis,
+    pub stop_time: Millis,
     /// Most bytes of records in one batch for the journal; one record may be larger.
-    pub batch: usize,
+    pub max_batch: usize,
     /// How a team's share is counted.
     pub share: ShareRule,
 }
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -15,7 +15,7 @@
 use crate::attempt::Phase;
 use crate::backlog::Backlog;
 use crate::batch::{Consequences, Mark, PlannedStart};
-use crate::blame::GivenUp;
+use crate::blame::AbandonedRuns;
 use crate::bounds::Bounds;
 use crate::finished::Kept;
 use crate::job::Job;
@@ -36,10 +36,10 @@
 const FENCE_BITS: u32 = 20;
 
 /// How long a job is remembered beyond the time for which its state can be asked for.
-const KEPT_LONGER: Duration = Duration::from_secs(30);
+const RETENTION_MARGIN: Duration = Duration::from_secs(30);
 
 /// Time after which a look at an idle worker is repeated when nothing else is known.
-pub(crate) const RETRY_LOOK: Duration = Duration::from_millis(200);
+pub(crate) const POLL_RETRY: Duration = Duration::from_millis(200);
 
 /// The jobs assigned to one owner, the workers of their services and what runs where.
 #[derive(Debug)]
@@ -64,13 +64,13 @@
     /// Invariant: none of them is in `jobs`.
     pub(crate) finished: Map<JobId, Kept>,
     /// The same by age, oldest first.
-    pub(crate) oldest: VecDeque<JobId>,
+    pub(crate) finished_order: VecDeque<JobId>,
     /// Finished jobs whose submission is still in the intake.
-    pub(crate) unneeded: Vec<JobId>,
+    pub(crate) obsolete: Vec<JobId>,
     pub(crate) last_drop: Time,
     pub(crate) workers: Workers,
     /// Workers on instances that are to be maintained before long.
-    pub(crate) due: Set<WorkerId>,
+    pub(crate) maintenance_due: Set<WorkerId>,
     /// Data centres in which nothing starts.
     pub(crate) evacuated: Arc<Set<ZoneName>>,
     /// When lasting work was last asked to leave workers.
@@ -81,41 +81,41 @@
     /// Jobs whose cancelling came before themselves.
     pub(crate) cancelled: Set<JobId>,
     /// Submissions that the journal is to hold, as they were encoded.
-    pub(crate) handed: Map<JobId, Vec<u8>>,
+    pub(crate) encoded_submissions: Map<JobId, Vec<u8>>,
     /// Jobs whose state the journal does not hold yet.
     pub(crate) dirty: Set<JobId>,
     /// Those of them that the last batch had no room for.
-    pub(crate) late: Set<JobId>,
+    pub(crate) deferred: Set<JobId>,
     /// Runs that wait for the journal.
     pub(crate) planned: Vec<PlannedStart>,
     /// The batch under way, and what holds once it is in the journal.
-    pub(crate) flying: Option<(Mark, Consequences)>,
+    pub(crate) in_flight: Option<(Mark, Consequences)>,
     /// When that was asked for.
-    pub(crate) written: Time,
+    pub(crate) append_sent: Time,
     pub(crate) next_mark: u64,
     pub(crate) out: Vec<Output>,
     /// What was learnt of each queue's jobs.
     pub(crate) learned: Map<QueueName, Learned>,
     /// Something changed that may let a task start.
-    pub(crate) stirred: bool,
+    pub(crate) reschedule: bool,
     pub(crate) now: Time,
     pub(crate) tallies: Tallies,
     pub(crate) backlog: Backlog,
     pub(crate) admission: Admission,
     /// Runs that were given up of late with their silent workers.
-    pub(crate) given_up: Map<WorkerId, GivenUp>,
+    pub(crate) abandoned: Map<WorkerId, AbandonedRuns>,
     /// Where workers have crashed of late, and when last.
-    pub(crate) crashed: Map<SocketAddr, Time>,
+    pub(crate) crash_times: Map<SocketAddr, Time>,
     /// What an earlier owner has told in the log already is taken in.
     pub(crate) restoring: bool,
     /// How long an earlier owner may go on renewing leases after this one has taken over.
-    others: Duration,
+    renewal_overlap: Duration,
     /// Orders to start leave out what the job runs.
-    pub(crate) named: bool,
+    pub(crate) specs_omitted: bool,
     /// Answers may be late since the owner's link is full.
-    pub(crate) full: bool,
+    pub(crate) link_full: bool,
     /// Leases are renewed: the ownership was confirmed of late.
-    pub(crate) renewing: bool,
+    pub(crate) renew_leases: bool,
 }
 
 impl Cell {
@@ -131,38 +131,38 @@
             wait_queue: WaitQueue::default(),
             timed: BTreeSet::new(),
             finished: Map::default(),
-            oldest: VecDeque::new(),
-            unneeded: Vec::new(),
+            finished_order: VecDeque::new(),
+            obsolete: Vec::new(),
             last_drop: Time::default(),
             workers: Workers::default(),
-            due: Set::default(),
+            maintenance_due: Set::default(),
             evacuated: Arc::default(),
             last_evacuation: Time::default(),
             usage: Usage::default(),
             shares: Shares::default(),
             tickets: Map::default(),
             cancelled: Set::default(),
-            handed: Map::default(),
+            encoded_submissions: Map::default(),
             dirty: Set::default(),
-            late: Set::default(),
+            deferred: Set::default(),
             planned: Vec::new(),
-            flying: None,
-            written: Time::default(),
+            in_flight: None,
+            append_sent: Time::default(),
             next_mark: 1,
             out: Vec::new(),
             learned: Map::default(),
-            stirred: true,
+            reschedule: true,
             now: Time::default(),
             tallies: Tallies::default(),
             backlog: Backlog::default(),
             admission: Admission::default(),
-            given_up: Map::default(),
-            crashed: Map::default(),
+            abandoned: Map::default(),
+            crash_times: Map::default(),
             restoring: true,
-            others: Duration::ZERO,
-            named: false,
-            full: false,
-            renewing: true,
+            renewal_overlap: Duration::ZERO,
+            specs_omitted: false,
+            link_full: false,
+            renew_leases: true,
         }
     }
 
@@ -172,13 +172,13 @@
     }
 
     /// Everything that earlier owners left behind was taken in.
-    pub fn restored(&mut self) {
+    pub fn finish_restore(&mut self) {
         self.restoring = false;
     }
 
     /// An earlier owner may be at work still, and renew leases on workers that it reaches.
-    pub fn expect_others(&mut self) {
-        self.others = RENEW_WITHOUT_STORE;
+    pub fn expect_previous_owner(&mut self) {
+        self.renewal_overlap = RENEW_WITHOUT_STORE;
     }
 
     /// What was counted since this was last asked.
@@ -187,12 +187,12 @@
     }
 
     /// Version of the configuration in force.
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.config.version
     }
 
     /// Nothing starts in these data centres until they are left out again; what runs there goes on.
-    pub fn evacuate_zones(&mut self, now: Time, zones: &Arc<Set<ZoneName>>) {
+    pub fn set_evacuated_zones(&mut self, now: Time, zones: &Arc<Set<ZoneName>>) {
         if Arc::ptr_eq(zones, &self.evacuated) || *zones == self.evacuated {
             return;
         }
@@ -208,7 +208,7 @@
             worker.evacuated = inside;
         }
         log::info!(zones:? = zones, workers = changed; "evacuated data centres changed");
-        self.stirred = true;
+        self.reschedule = true;
     }
 
     /// A newer configuration is in force.
@@ -221,7 +221,7 @@
         for id in &self.open {
             self.jobs.get_mut(id);
         }
-        self.stirred = true;
+        self.reschedule = true;
     }
 
     /// The state of a job that callers see; `None` if there is no such job.
@@ -239,31 +239,31 @@
     }
 
     /// Number of a queue's jobs of which no task has started.
-    pub fn pending(&self, queue: &QueueName) -> u64 {
+    pub fn pending_jobs(&self, queue: &QueueName) -> u64 {
         let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
         let waiting = jobs.filter(|j| j.sub.queue == *queue && j.visible() == JobState::Queued);
         waiting.count() as u64
     }
 
     /// For how long a batch has been under way, if one is.
-    pub fn writing(&self, now: Time) -> Option<Duration> {
-        self.flying.as_ref().map(|_| now.since(self.written))
+    pub fn append_age(&self, now: Time) -> Option<Duration> {
+        self.in_flight.as_ref().map(|_| now.since(self.append_sent))
     }
 
     /// The ownership was confirmed `age` ago. Past [`RENEW_WITHOUT_STORE`] leases are left to
     /// expire: a newer owner may count on it.
-    pub fn confirmed(&mut self, age: Duration) {
-        self.renewing = age < RENEW_WITHOUT_STORE;
+    pub fn set_ownership_age(&mut self, age: Duration) {
+        self.renew_leases = age < RENEW_WITHOUT_STORE;
     }
 
     /// Whether orders to start name what the job runs instead of carrying it.
-    pub fn name_specs(&mut self, named: bool) {
-        self.named = named;
+    pub fn omit_specs(&mut self, named: bool) {
+        self.specs_omitted = named;
     }
 
     /// Whether answers may be late since the owner's link is full.
-    pub fn link_is_full(&mut self, full: bool) {
-        self.full = full;
+    pub fn set_link_full(&mut self, full: bool) {
+        self.link_full = full;
     }
 
     /// Derives anew what follows from the state of jobs and workers that changed.
@@ -279,29 +279,29 @@
     /// What is to be done now; `wall` is in milliseconds since 1970.
     pub fn poll(&mut self, now: Time, wall: u64) -> Vec<Output> {
         self.now = now;
-        self.begin_turns(wall);
-        self.expire();
-        self.stirred |= self.workers.end_reservations(now);
+        self.begin_due_turns(wall);
+        self.expire_silent_workers();
+        self.reschedule |= self.workers.expire_reservations(now);
         self.evacuate();
-        self.forget();
-        if self.flying.is_none() {
-            if self.stirred {
-                self.stirred = false;
+        self.prune_finished();
+        if self.in_flight.is_none() {
+            if self.reschedule {
+                self.reschedule = false;
                 self.schedule();
             }
             self.write();
         }
         self.drop_submissions();
-        self.look_around();
+        self.poll_due_workers();
         self.count_room();
         self.log_backlog();
         std::mem::take(&mut self.out)
     }
 
     /// When it has to be polled at the latest, if nothing happens.
-    pub fn wake(&self) -> Time {
+    pub fn next_wake(&self) -> Time {
         let soon = self.now.after(Duration::from_millis(100));
-        let look = self.workers.next_look();
+        let look = self.workers.next_poll();
         look.map_or(soon, |at| at.min(soon))
     }
 
@@ -318,7 +318,7 @@
         }
         self.open.remove(&id);
         self.dirty.insert(id);
-        self.stirred = true;
+        self.reschedule = true;
         self.stop_all(id);
     }
 
@@ -340,7 +340,7 @@
     }
 
     /// Occurrences that are due begin.
-    fn begin_turns(&mut self, wall: u64) {
+    fn begin_due_turns(&mut self, wall: u64) {
         while let Some(&(due, id)) = self.timed.first()
             && due <= wall
         {
@@ -353,23 +353,23 @@
             let next = job.turns.len() as u32;
             job.turns.push(Turn::new(next, &job.sub.steps));
             self.timed.extend(job.next_turn().map(|due| (due, id)));
-            self.stirred = true;
+            self.reschedule = true;
         }
     }
 
     /// Runs on workers that are silent for longer than any lease are gone.
-    fn expire(&mut self) {
-        let (lease, others) = (self.bounds.lease, self.others);
+    fn expire_silent_workers(&mut self) {
+        let (lease, others) = (self.bounds.lease, self.renewal_overlap);
         let now = self.now;
         self.workers.settle();
         let gone: Vec<WorkerId> = self
             .workers
             .silent()
-            .filter(|w| w.held.is_empty() || w.has_expired(lease, others, now))
+            .filter(|w| w.allocations.is_empty() || w.has_expired(lease, others, now))
             .map(|w| w.id.clone())
             .collect();
         for id in gone {
-            self.give_up(&id);
+            self.abandon_runs(&id);
             if self.workers.get(&id).is_some_and(|w| w.entry.is_none()) {
                 self.workers.remove(&id);
             }
@@ -377,17 +377,17 @@
     }
 
     /// Finished jobs are forgotten once nobody may ask for them.
-    fn forget(&mut self) {
-        let kept = self.bounds.kept.duration() + KEPT_LONGER;
+    fn prune_finished(&mut self) {
+        let kept = self.bounds.retention.duration() + RETENTION_MARGIN;
         let now = self.now;
-        while let Some(id) = self.oldest.front() {
+        while let Some(id) = self.finished_order.front() {
             let known = self.finished.get(id);
             if known.is_some_and(|k| now.since(k.ended) <= kept) {
                 return;
             }
             self.finished.remove(id);
             self.dirty.insert(*id);
-            self.oldest.pop_front();
+            self.finished_order.pop_front();
         }
     }
 }
--- a/crates/cell/src/commit.rs
+++ b/crates/cell/src/commit.rs
@@ -22,10 +22,10 @@
     /// The batch is in the journal.
     pub fn appended(&mut self, now: Time, mark: Mark) {
         self.now = now;
-        let Some((_, done)) = self.flying.take_if(|(m, _)| *m == mark) else {
+        let Some((_, done)) = self.in_flight.take_if(|(m, _)| *m == mark) else {
             return;
         };
-        let took = now.since(self.written);
+        let took = now.since(self.append_sent);
         self.backlog.appended(took);
         self.admission.appended(took);
         for id in &done.accepted {
@@ -48,7 +48,7 @@
             self.acknowledge(&id, born, number);
         }
         for start in done.starts {
-            self.order(start);
+            self.send_start(start);
         }
     }
 
@@ -67,24 +67,24 @@
         self.wait_queue.put(id, None);
         self.tickets.retain(|step, _| step.job != id);
         if cancelled || !elsewhere {
-            self.unneeded.push(id);
+            self.obsolete.push(id);
         }
     }
 
     pub(crate) fn remember(&mut self, id: JobId, kept: Kept) {
         if self.finished.insert(id, kept).is_none() {
-            self.oldest.push_back(id);
+            self.finished_order.push_back(id);
         }
     }
 
     /// Asks to drop the submissions of finished jobs, many at a time.
     pub(crate) fn drop_submissions(&mut self) {
         let due = self.now.since(self.last_drop) >= DROP_EVERY;
-        if self.unneeded.is_empty() || !due {
+        if self.obsolete.is_empty() || !due {
             return;
         }
         self.last_drop = self.now;
-        let jobs = std::mem::take(&mut self.unneeded);
+        let jobs = std::mem::take(&mut self.obsolete);
         self.out.push(Output::DropSubmissions(jobs));
     }
 
@@ -96,9 +96,9 @@
         let mut draft = Draft::default();
         let orders = self.order_sizes();
         for id in self.in_order() {
-            if draft.size >= self.bounds.batch {
+            if draft.size >= self.bounds.max_batch {
                 self.dirty.insert(id);
-                self.late.insert(id);
+                self.deferred.insert(id);
                 continue;
             }
             self.write_job(id, &mut draft);
@@ -113,13 +113,13 @@
         draft.done.starts = now;
         self.workers.settle();
         let left = &self.dirty;
-        let fresh = self.workers.fresh();
-        let ends = fresh.map(|w| (w.id.clone(), w.born, w.written(left)));
+        let fresh = self.workers.unjournaled();
+        let ends = fresh.map(|w| (w.id.clone(), w.born, w.journaled_without(left)));
         draft.done.ends = ends.collect();
-        self.written = self.now;
+        self.append_sent = self.now;
         let mark = Mark(self.next_mark);
         self.next_mark += 1;
-        self.flying = Some((mark, draft.done));
+        self.in_flight = Some((mark, draft.done));
         self.out.push(Output::Append(Batch {
             mark,
             submissions: draft.submissions,
@@ -130,7 +130,7 @@
     /// What changed, in the order in which it is written: lasting work that is about to start earns by
     /// the second, and what a full batch has left out before goes ahead of the rest.
     fn in_order(&mut self) -> Vec<JobId> {
-        let late = std::mem::take(&mut self.late);
+        let late = std::mem::take(&mut self.deferred);
         let planned = self.planned.iter().map(|p| p.task.job());
         let lasting = planned.filter(|id| self.jobs.get(id).is_some_and(|j| j.sub.lasting()));
         let lasting: Set<JobId> = lasting.collect();
@@ -149,7 +149,7 @@
         let mut sizes: Map<JobId, usize> = Map::default();
         for start in &self.planned {
             let id = start.task.job();
-            let job = self.jobs.get(&id).filter(|_| !self.named);
+            let job = self.jobs.get(&id).filter(|_| !self.specs_omitted);
             let spec = job.map_or(0, |j| j.sub.spec.len());
             *sizes.entry(id).or_default() += ORDER_SIZE + spec;
         }
@@ -159,10 +159,10 @@
     /// Ends of runs that no job knows change nothing; they need no journal.
     fn note_ends(&mut self) {
         self.workers.settle();
-        let fresh: Vec<WorkerId> = self.workers.fresh().map(|w| w.id.clone()).collect();
+        let fresh: Vec<WorkerId> = self.workers.unjournaled().map(|w| w.id.clone()).collect();
         for id in fresh {
             if let Some(worker) = self.workers.get_mut(&id) {
-                worker.note(worker.notable());
+                worker.mark_journaled(worker.acknowledgeable_end());
             }
         }
     }
@@ -174,7 +174,7 @@
         }
         let job = self.jobs.get(&id);
         let record = job.map(JobRecord::new);
-        if let Some(handed) = self.handed.remove(&id) {
+        if let Some(handed) = self.encoded_submissions.remove(&id) {
             draft.done.accepted.push(id);
             // The last record stands by itself.
             if matches!(record, Some(JobRecord::Open(_))) {
--- a/crates/cell/src/crash.rs
+++ b/crates/cell/src/crash.rs
@@ -3,10 +3,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Crashes of workers under a task, whatever else ran there, after which its job is given up.
-const MOST_CRASHES: usize = 5;
+const MAX_CRASHES: usize = 5;
 
 /// Proven crashes right after a start after which it is given up, if nothing else can have caused the last.
-const FRESH_CRASHES: usize = 3;
+const MAX_FRESH_CRASHES: usize = 3;
 
 /// The end of a worker under a run of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,5 +39,5 @@
     let fresh = crashes.iter().filter(|c| c.proven && c.fresh).count();
     let alone = crashes.last().is_some_and(|c| c.alone);
     let counted = crashes.iter().filter(|c| !(lasting && c.explained));
-    (alone && fresh >= FRESH_CRASHES) || counted.count() >= MOST_CRASHES
+    (alone && fresh >= MAX_FRESH_CRASHES) || counted.count() >= MAX_CRASHES
 }
--- a/crates/cell/src/demand.rs
+++ b/crates/cell/src/demand.rs
@@ -113,7 +113,7 @@
                 self.forecast.add(step.reserved(), 0, left);
                 end = end.max(left);
             }
-            let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
+            let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
             let starting = match free > 0 && turn.is_ready(step) {
                 true => startable(step, free),
                 false => free,
@@ -137,7 +137,7 @@
         let begun = attempt.started.get();
         let percent = u64::from(attempt.percent);
         let whole = match percent >= TELLING && attempt.phase == Phase::Running {
-            true => attempt.moved.get().saturating_sub(begun) * 100 / percent,
+            true => attempt.last_progress.get().saturating_sub(begun) * 100 / percent,
             false => whole,
         };
         let gone = self.now.saturating_sub(begun);
--- a/crates/cell/src/ends.rs
+++ b/crates/cell/src/ends.rs
@@ -9,14 +9,14 @@
 
 impl Cell {
     /// A worker lists an end.
-    pub(crate) fn take_end(&mut self, id: &WorkerId, end: &End) {
+    pub(crate) fn apply_end(&mut self, id: &WorkerId, end: &End) {
         let (task, run) = (end.task, end.run);
-        if end.how == How::Done && self.is_redone(task, run) {
-            self.bar(id, end);
+        if end.how == How::Done && self.was_restarted(task, run) {
+            self.withhold_end(id, end);
         }
         let attempt = self.attempt_mut(task, run, id);
         let Some((phase, started)) = attempt.map(|c| (c.phase, c.started)) else {
-            self.take_late_end(id, end);
+            self.apply_late_end(id, end);
             return;
         };
         let Some(job) = self.jobs.get_mut(&task.job()) else {
@@ -77,7 +77,7 @@
     /// Failure: a worker is silent for longer than its lease, its runs are given up, and then
     /// it lists one of them as done. Starting the task again would do its work twice, so the
     /// end counts, whoever may run it by now. Counting it twice changes nothing.
-    fn take_late_end(&mut self, id: &WorkerId, end: &End) {
+    fn apply_late_end(&mut self, id: &WorkerId, end: &End) {
         let (task, run) = (end.task, end.run);
         let Some(job) = self.jobs.get_mut(&task.job()) else {
             return;
@@ -111,7 +111,7 @@
     }
 
     /// Whether a run was given up while its worker was silent, and its task started anew.
-    fn is_redone(&self, task: TaskId, run: u32) -> bool {
+    fn was_restarted(&self, task: TaskId, run: u32) -> bool {
         let finished = self.finished.get(&task.job()).map(|k| &k.job.redone);
         let open = self.jobs.get(&task.job()).map(|j| &j.redone);
         let redone = finished.or(open).into_iter().flatten();
@@ -120,15 +120,17 @@
 
     /// An end that must not be acknowledged, unless the worker's lease is known to have run out
     /// after it.
-    fn bar(&mut self, id: &WorkerId, end: &End) {
+    fn withhold_end(&mut self, id: &WorkerId, end: &End) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.lapsed > end.number {
+        if worker.expired_end > end.number {
             return;
         }
-        let first = worker.barred.map_or(end.number, |n| n.min(end.number));
-        worker.barred = Some(first);
+        let first = worker
+            .withheld_end
+            .map_or(end.number, |n| n.min(end.number));
+        worker.withheld_end = Some(first);
         log::warn!(
             task:% = end.task, run = end.run, worker:% = id, number = end.number;
             "worker is spent: what was given up there was done"
@@ -137,7 +139,7 @@
 
     fn task_done(&mut self, id: &WorkerId, task: TaskId, gang: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.health.done();
+            worker.health.record_success();
         }
         let Some(job) = self.jobs.get_mut(&task.job()) else {
             return;
@@ -157,7 +159,7 @@
         let others: Vec<_> = others.map(|c| (c.run, c.worker.clone())).collect();
         let complete = job.is_open() && job.is_done();
         self.dirty.insert(task.job());
-        self.stirred = true;
+        self.reschedule = true;
         for (run, worker) in others {
             self.stop(task, run, &worker);
         }
@@ -185,7 +187,7 @@
         if !lasting
             && self.policy.health
             && let Some(worker) = self.workers.get_mut(id)
-            && worker.health.failed(task.job(), now)
+            && worker.health.record_failure(task.job(), now)
         {
             log::warn!(worker:% = id, job:% = task.job(); "worker gets no work: it fails it");
         }
@@ -209,7 +211,7 @@
         let spent = !lasting && fails.len() >= attempts as usize;
         let open = job.is_open();
         self.dirty.insert(task.job());
-        self.stirred = true;
+        self.reschedule = true;
         if spent && open {
             let arrived = self.jobs.get(&task.job()).map(|j| j.arrived);
             let took = arrived.map_or(0, |at| now.since(at).as_millis() as u64);
@@ -225,7 +227,7 @@
     /// A run is over or never was: its room, its team's quota and its task are free again.
     pub(crate) fn release(&mut self, task: TaskId, run: u32, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.drop_run(task, run);
+            worker.deallocate(task, run);
         }
         let Some(job) = self.jobs.get_mut(&task.job()) else {
             return;
@@ -247,7 +249,7 @@
             self.planned.retain(|p| p.task != task || p.run != run);
         }
         self.dirty.insert(task.job());
-        self.stirred = true;
+        self.reschedule = true;
         if step.is_some_and(|s| s.gang) {
             self.stop_gang(task, run);
         }
@@ -300,7 +302,7 @@
         if let Some(worker) = self.workers.get_mut(id)
             && worker.born == born
         {
-            worker.note(number);
+            worker.mark_journaled(number);
         }
     }
 
--- a/crates/cell/src/evacuation.rs
+++ b/crates/cell/src/evacuation.rs
@@ -15,13 +15,13 @@
 
 /// Time between two tries to let lasting work leave: a start elsewhere is seen at work after
 /// some hundred milliseconds, and each try looks at every run that may leave.
-const EVACUATE_EVERY: Duration = Duration::from_millis(20);
+const EVACUATION_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a step allows when one of its lasting tasks is stopped.
 #[derive(Default)]
 struct Disruption {
     /// Other tasks of the step that are not at work, as far as is known.
-    away: u32,
+    unavailable: u32,
     /// Tasks of the step that may be away at a time.
     budget: u32,
 }
@@ -30,25 +30,25 @@
     /// Gives a worker no more work; with `evacuate` lasting work leaves it, within its budget.
     pub fn close(&mut self, id: &WorkerId, evacuate: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
-            let runs = worker.held.len() as u64;
+            let runs = worker.allocations.len() as u64;
             log::info!(worker:% = id, runs = runs, evacuate = evacuate; "worker closed");
-            worker.closing = true;
+            worker.closed = true;
             worker.evacuating = evacuate;
         }
     }
 
     /// A worker's instance is ordered away: it gets no more work, and its end is no crash.
-    pub fn send_away(&mut self, id: &WorkerId) {
+    pub fn begin_removal(&mut self, id: &WorkerId) {
         self.close(id, false);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.ordered = true;
+            worker.removing = true;
         }
     }
 
     /// The instances of these workers are to be maintained before long.
     pub fn expect_maintenance(&mut self, due: &Set<WorkerId>) {
-        if self.due != *due {
-            self.due.clone_from(due);
+        if self.maintenance_due != *due {
+            self.maintenance_due.clone_from(due);
         }
     }
 
@@ -56,10 +56,10 @@
     pub fn reopen(&mut self, id: &WorkerId) {
         if let Some(worker) = self.workers.get_mut(id) {
             log::info!(worker:% = id; "worker reopened");
-            worker.closing = false;
-            worker.ordered = false;
+            worker.closed = false;
+            worker.removing = false;
             worker.evacuating = false;
-            self.stirred = true;
+            self.reschedule = true;
         }
     }
 
@@ -71,14 +71,14 @@
 
     /// Lasting work leaves workers that are to be emptied, within its budget.
     pub(crate) fn evacuate(&mut self) {
-        if self.now.since(self.last_evacuation) < EVACUATE_EVERY {
+        if self.now.since(self.last_evacuation) < EVACUATION_INTERVAL {
             return;
         }
         self.last_evacuation = self.now;
         self.workers.settle();
         let mut lasting = Vec::new();
         for worker in self.workers.evacuating() {
-            let runs = worker.held.iter().filter(|(_, h)| h.lasting);
+            let runs = worker.allocations.iter().filter(|(_, h)| h.lasting);
             lasting.extend(runs.map(|(t, h)| (worker.id.clone(), *t, h.run)));
         }
         for (id, task, run) in lasting {
@@ -86,7 +86,7 @@
                 continue;
             };
             log::info!(
-                task:% = task, run = run, worker:% = id, away = disruption.away,
+                task:% = task, run = run, worker:% = id, away = disruption.unavailable,
                 budget = disruption.budget;
                 "run leaves its worker"
             );
@@ -103,18 +103,21 @@
             return Some(Disruption::default());
         };
         let mine = &run.tasks[task.index as usize];
-        let at_work = |c: &Attempt| c.is_at_work() && self.is_telling(c);
+        let at_work = |c: &Attempt| c.is_active() && self.has_current_status(c);
         let running = mine
             .attempts
             .iter()
             .all(|c| c.worker != *from || at_work(c));
         let others = run.tasks.iter().enumerate();
         let others = others.filter(|(i, _)| *i != task.index as usize);
-        let away = others.filter(|(_, t)| !t.attempts.iter().any(at_work));
-        let away = away.count() as u32;
+        let unavailable = others.filter(|(_, t)| !t.attempts.iter().any(at_work));
+        let unavailable = unavailable.count() as u32;
         let budget = step.budget.unwrap_or(1).max(1);
-        let allowed = running && away < budget && self.has_place(job, step, run);
-        allowed.then_some(Disruption { away, budget })
+        let allowed = running && unavailable < budget && self.fits_elsewhere(job, step, run);
+        allowed.then_some(Disruption {
+            unavailable,
+            budget,
+        })
     }
 
     /// Whether what a worker lists of a run says that it goes on.
@@ -123,15 +126,17 @@
     /// an earlier owner's run, unless the look was sent after a stop which that one may have ordered
     /// would be through: the run is listed as before meanwhile, and a step with a budget of two
     /// would lose three tasks.
-    fn is_telling(&self, attempt: &Attempt) -> bool {
+    fn has_current_status(&self, attempt: &Attempt) -> bool {
         let Some(worker) = self.workers.get(&attempt.worker) else {
             return false;
         };
-        let stop = self.bounds.stop.duration();
-        let met = worker.met.is_some_and(|at| worker.alive > at.after(stop));
+        let stop = self.bounds.stop_time.duration();
+        let met = worker
+            .first_answer
+            .is_some_and(|at| worker.last_alive > at.after(stop));
         // A worker that was silent answers a look that renews nothing first.
-        let holds = worker.is_assured(self.now);
-        holds && worker.missed == 0 && (attempt.is_own() || met)
+        let holds = worker.has_valid_lease(self.now);
+        holds && worker.missed_polls == 0 && (attempt.is_own() || met)
     }
 
     /// Whether a worker could take one more task of a step now.
@@ -139,16 +144,16 @@
     /// Failure: a task leaves while every other worker has as many of its step as its spread
     /// allows, or lacks its label, and it is away until an instance comes. One that could take
     /// it has room, the label, and fewer than that.
-    fn has_place(&self, job: &Job, step: &Step, run: &StepRun) -> bool {
+    fn fits_elsewhere(&self, job: &Job, step: &Step, run: &StepRun) -> bool {
         let service = self.service_of(job);
         let beside = beside(run);
         let Some(free_index) = self.workers.free_index(&service) else {
             return false;
         };
         let roomy = free_index.emptiest(Scope::All, step.reserved().cpu);
-        let mut open = roomy.filter_map(|n| self.workers.at(n));
+        let mut open = roomy.filter_map(|n| self.workers.by_number(n));
         open.any(|w| {
-            let Some(entry) = w.entry.as_ref().filter(|_| w.is_open(self.now)) else {
+            let Some(entry) = w.entry.as_ref().filter(|_| w.is_schedulable(self.now)) else {
                 return false;
             };
             let tasks = beside.get(&w.id).copied().unwrap_or_default();
--- a/crates/cell/src/free_index.rs
+++ b/crates/cell/src/free_index.rs
@@ -25,7 +25,7 @@
     /// Those of one rack of a data centre.
     Rack(&'a ZoneName, &'a str),
     /// Those of every rack of this name.
-    Named(&'a str),
+    RackName(&'a str),
     /// Those of one data centre.
     Zone(&'a ZoneName),
     All,
@@ -99,7 +99,7 @@
             Scope::All => vec![&self.all],
             Scope::Zone(zone) => self.zones.get(zone).map(|z| &z.all).into_iter().collect(),
             Scope::Rack(zone, name) => rack(zone, name).into_iter().collect(),
-            Scope::Named(name) => {
+            Scope::RackName(name) => {
                 let zones = self.zones.values();
                 zones.filter_map(|z| z.racks.get(name)).collect()
             }
--- a/crates/cell/src/hand_in.rs
+++ b/crates/cell/src/hand_in.rs
@@ -63,14 +63,14 @@
                 false => HandIn::Journaling,
             };
         }
-        if self.flying.is_some() {
+        if self.in_flight.is_some() {
             return HandIn::Busy;
         }
         self.submit(now, sub, Duration::ZERO);
         if let Some(job) = self.jobs.observe(&id) {
             job.in_intake = false;
         }
-        self.handed.insert(id, record);
+        self.encoded_submissions.insert(id, record);
         self.dirty.insert(id);
         HandIn::Journaling
     }
--- a/crates/cell/src/health.rs
+++ b/crates/cell/src/health.rs
@@ -9,10 +9,10 @@
 ///
 /// A job that fails wherever it runs fails with all its tasks, so failures of one job say nothing
 /// of a worker.
-const SUSPECT_JOBS: usize = 2;
+const MAX_FAILED_JOBS: usize = 2;
 
 /// First time without work; doubles each time.
-const PAUSE: Duration = Duration::from_millis(1_500);
+const FIRST_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Longest time without work.
 const MAX_PAUSE: Duration = Duration::from_secs(12);
@@ -21,29 +21,29 @@
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     /// Jobs that failed here since the last success, each once.
-    failed: Vec<JobId>,
+    failed_jobs: Vec<JobId>,
     /// Pauses in a row.
     pauses: u32,
     /// No work until then.
-    until: Option<Time>,
+    paused_until: Option<Time>,
 }
 
 impl Health {
     /// A run was done.
-    pub(crate) fn done(&mut self) {
+    pub(crate) fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// A run of `job` failed, or stood still. True if the worker is paused for it.
-    pub(crate) fn failed(&mut self, job: JobId, now: Time) -> bool {
-        if !self.failed.contains(&job) {
-            self.failed.push(job);
+    pub(crate) fn record_failure(&mut self, job: JobId, now: Time) -> bool {
+        if !self.failed_jobs.contains(&job) {
+            self.failed_jobs.push(job);
         }
         // After a pause one failure is enough.
-        if self.failed.len() < SUSPECT_JOBS && self.pauses == 0 {
+        if self.failed_jobs.len() < MAX_FAILED_JOBS && self.pauses == 0 {
             return false;
         }
-        let fresh = self.until.is_none_or(|t| t <= now);
+        let fresh = self.paused_until.is_none_or(|t| t <= now);
         if fresh {
             self.pause(now);
         }
@@ -52,14 +52,16 @@
 
     /// Gives the worker no work for a while.
     pub(crate) fn pause(&mut self, now: Time) {
-        let pause = PAUSE.saturating_mul(1 << self.pauses.min(4)).min(MAX_PAUSE);
-        self.until = Some(now.after(pause));
+        let pause = FIRST_PAUSE
+            .saturating_mul(1 << self.pauses.min(4))
+            .min(MAX_PAUSE);
+        self.paused_until = Some(now.after(pause));
         self.pauses += 1;
     }
 
     /// Whether the worker may get work.
-    pub(crate) fn is_trusted(&self, now: Time) -> bool {
-        self.until.is_none_or(|t| t <= now)
+    pub(crate) fn is_usable(&self, now: Time) -> bool {
+        self.paused_until.is_none_or(|t| t <= now)
     }
 
     /// Whether the worker was paused and has done nothing since: it gets one task at a time.
--- a/crates/cell/src/journal.rs
+++ b/crates/cell/src/journal.rs
@@ -224,7 +224,7 @@
             return Self::Done;
         }
         let blameless = task.fails.is_empty() && task.crashes.is_empty();
-        let bare = blameless && task.checkpoint.is_empty() && !task.given_up;
+        let bare = blameless && task.checkpoint.is_empty() && !task.abandoned;
         match (task.run, task.attempts.as_slice()) {
             (0, []) if bare => Self::Fresh,
             (1, [attempt]) if bare && !task.done => Self::First(place(attempt, places)),
@@ -260,7 +260,7 @@
             fails: task.fails.clone(),
             done: task.done,
             checkpoint: task.checkpoint.clone(),
-            given_up: task.given_up,
+            given_up: task.abandoned,
             crashes: task.crashes.clone(),
             attempts: attempts.map(|c| (place(c, places), c.run)).collect(),
         }
@@ -274,7 +274,7 @@
             done: self.done,
             started: self.run > 0,
             checkpoint: self.checkpoint,
-            given_up: self.given_up,
+            abandoned: self.given_up,
             crashes: self.crashes,
             attempts: attempts
                 .filter_map(|(at, run)| places.attempt(at, run))
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -2,7 +2,7 @@
 //! what runs where.
 //!
 //! A pure machine. Whoever owns the cell tells it what happened ([`Cell::submit`],
-//! [`Cell::looked`], ...) and carries out what [`Cell::poll`] asks for. It has no clock, socket
+//! [`Cell::poll_answered`], ...) and carries out what [`Cell::poll`] asks for. It has no clock, socket
 //! or random source; a takeover builds it anew from the journal with [`Cell::restore`].
 //!
 //! What it promises, however late or lost the answers to orders are:
@@ -70,7 +70,7 @@
 pub use learned::Arrivals;
 pub use output::Output;
 pub use policy::WorkPolicy;
-pub use reads::{Known, Reads};
+pub use reads::{Coverage, IntakeProgress};
 pub use shares::ShareRule;
 pub use tallies::Tallies;
 pub use view::{JobView, Load, RunView, WorkerView};
--- a/crates/cell/src/listing.rs
+++ b/crates/cell/src/listing.rs
@@ -4,11 +4,11 @@
 use cactuswheel_work::{WorkerEntry, WorkerId};
 
 use crate::cell::Cell;
-use crate::worker::Looking;
+use crate::worker::PollState;
 
 impl Cell {
     /// The platform lists a worker.
-    pub fn list(&mut self, now: Time, entry: WorkerEntry) {
+    pub fn register_worker(&mut self, now: Time, entry: WorkerEntry) {
         self.now = now;
         let known = self.workers.get(&entry.id);
         if known.is_some_and(|w| w.entry.as_ref() == Some(&entry)) {
@@ -18,7 +18,7 @@
         let id = entry.id.clone();
         let worker = self.workers.get_or_add(&id, self.fence, now);
         let reborn = entry.born > worker.born && worker.born != 0;
-        self.stirred = true;
+        self.reschedule = true;
         let changed = worker.entry.as_ref().is_none_or(|before| {
             before.presence != entry.presence || before.addr != entry.addr || reborn
         });
@@ -28,8 +28,8 @@
                 born = entry.born, known_born = worker.born;
                 "worker listed"
             );
-            if !matches!(worker.looking, Looking::Flying(_)) {
-                worker.looking = Looking::Due(now);
+            if !matches!(worker.poll_state, PollState::InFlight(_)) {
+                worker.poll_state = PollState::Due(now);
             }
         }
         let draining = entry.presence == cactuswheel_work::Presence::Draining;
@@ -38,22 +38,22 @@
         worker.entry = Some(entry);
         worker.evacuated = worker.is_within(&self.evacuated);
         if changed && draining {
-            self.leave(&id);
+            self.stop_lasting(&id);
         }
     }
 
     /// The platform lists a worker no more.
-    pub fn unlist(&mut self, now: Time, id: &WorkerId) {
+    pub fn unregister_worker(&mut self, now: Time, id: &WorkerId) {
         self.now = now;
         if let Some(worker) = self.workers.get_mut(id) {
-            let runs = worker.held.len() as u64;
+            let runs = worker.allocations.len() as u64;
             log::info!(worker:% = id, runs = runs; "worker no longer listed");
             worker.entry = None;
         }
     }
 
     /// Workers that are known to be listed.
-    pub fn listed(&self) -> impl Iterator<Item = &WorkerId> {
+    pub fn registered_workers(&self) -> impl Iterator<Item = &WorkerId> {
         let listed = self.workers.values().filter(|w| w.entry.is_some());
         listed.map(|w| &w.id)
     }
--- a/crates/cell/src/loads.rs
+++ b/crates/cell/src/loads.rs
@@ -47,7 +47,7 @@
                 }
                 load.lasting += step.reserved() * u64::from(step.count);
                 load.spread = load.spread.max(spread(step));
-                let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
+                let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
                 let free = self.startable(job, step, free, left);
                 load.waiting += step.reserved() * free;
             }
@@ -87,14 +87,14 @@
             let view = WorkerView {
                 worker: w.id.clone(),
                 service: entry.service.clone(),
-                open: w.is_open(self.now) || w.is_full(self.now),
-                closing: (w.closing || w.is_spent() || w.evacuated) && w.answers(),
+                open: w.is_schedulable(self.now) || w.is_full(self.now),
+                closing: (w.closed || w.is_spent() || w.evacuated) && w.is_responsive(),
                 evacuated: w.evacuated,
                 spent: w.is_spent(),
                 room: entry.room,
                 used: w.used,
                 lasting: w.lasting,
-                runs: w.held.len(),
+                runs: w.allocations.len(),
             };
             (w.id.clone(), view)
         });
@@ -121,7 +121,7 @@
             state: job.visible(),
             age: self.now.since(job.arrived),
             done: tasks.iter().filter(|t| t.done).count(),
-            waiting: tasks.iter().filter(|t| t.is_free()).count(),
+            waiting: tasks.iter().filter(|t| t.is_pending()).count(),
             runs: runs.collect(),
         })
     }
@@ -139,7 +139,7 @@
 
     /// Jobs that are in no final state, by queue: all of them, and those of which no task has
     /// started.
-    pub fn queues(&self) -> Map<QueueName, (u64, u64)> {
+    pub fn queue_lengths(&self) -> Map<QueueName, (u64, u64)> {
         let mut found: Map<QueueName, (u64, u64)> = Map::default();
         for job in self.open.iter().filter_map(|id| self.jobs.get(id)) {
             let count = found.entry(job.sub.queue.clone()).or_default();
--- a/crates/cell/src/losses.rs
+++ b/crates/cell/src/losses.rs
@@ -6,21 +6,25 @@
 
 impl Cell {
     /// Every lease on a silent worker has run out; what was done there before may still be listed.
-    pub(crate) fn give_up(&mut self, id: &WorkerId) {
+    pub(crate) fn abandon_runs(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let runs: Vec<(TaskId, u32)> = worker.held.iter().map(|(t, h)| (*t, h.run)).collect();
+        let runs: Vec<(TaskId, u32)> = worker
+            .allocations
+            .iter()
+            .map(|(t, h)| (*t, h.run))
+            .collect();
         for (task, _) in &runs {
             let job = self.jobs.get_mut(&task.job());
             if let Some(state) = job.and_then(|j| j.task_mut(*task)) {
-                state.given_up = true;
+                state.abandoned = true;
             }
         }
         let blamed = self.count_crash(id, &runs, &[], false);
-        self.remember_given_up(id, &runs);
-        self.lose(id, runs, "lease expired");
-        self.give_up_jobs(&blamed);
+        self.remember_abandoned(id, &runs);
+        self.lose_runs(id, runs, "lease expired");
+        self.fail_crashing_jobs(&blamed);
     }
 
     /// Everything on a worker is gone.
@@ -28,8 +32,12 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let runs = worker.held.iter().map(|(t, h)| (*t, h.run)).collect();
-        self.lose(id, runs, why);
+        let runs = worker
+            .allocations
+            .iter()
+            .map(|(t, h)| (*t, h.run))
+            .collect();
+        self.lose_runs(id, runs, why);
     }
 
     /// A worker's life has ended under these runs; those in `doubtful` may be in its next one.
@@ -46,13 +54,13 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let alive = worker.alive;
+        let alive = worker.last_alive;
         // A worker that is only closed goes on until its instance is ordered away.
-        let planned = worker.ordered || worker.is_draining();
+        let planned = worker.removing || worker.is_draining();
         let silent = self.now.since(alive).as_millis() as u64;
         let held = runs.iter().chain(doubtful);
         let attempts = held.filter_map(|(t, run)| self.attempt(*t, *run, id));
-        let unproven = attempts.filter(|a| !a.is_proven(alive)).count() as u64;
+        let unproven = attempts.filter(|a| !a.passed_probation(alive)).count() as u64;
         log::warn!(
             worker:% = id, why:% = why, runs = runs.len() as u64,
             doubtful = doubtful.len() as u64, unproven = unproven, silent_ms = silent,
@@ -60,35 +68,39 @@
             "worker ended"
         );
         if !planned {
-            self.tallies.ended += 1;
-            self.tallies.lost += runs.len() as u64;
+            self.tallies.workers_ended += 1;
+            self.tallies.runs_lost += runs.len() as u64;
             if let Some(addr) = worker.addr {
-                self.note_crashed(addr);
+                self.record_crash_addr(addr);
             }
         }
         let blamed = match planned {
             true => Vec::new(),
             false => self.count_crash(id, &runs, doubtful, true),
         };
-        self.lose(id, runs, why);
-        self.give_up_jobs(&blamed);
+        self.lose_runs(id, runs, why);
+        self.fail_crashing_jobs(&blamed);
     }
 
     /// Runs on a worker are gone without an end.
-    fn lose(&mut self, id: &WorkerId, runs: Vec<(TaskId, u32)>, why: &str) {
-        let alive = self.workers.get(id).map(|w| w.alive).unwrap_or_default();
+    fn lose_runs(&mut self, id: &WorkerId, runs: Vec<(TaskId, u32)>, why: &str) {
+        let alive = self
+            .workers
+            .get(id)
+            .map(|w| w.last_alive)
+            .unwrap_or_default();
         for (task, run) in runs {
             if let Some(attempt) = self.attempt(task, run, id) {
                 let age = self.now.since(attempt.started).as_millis() as u64;
                 log::info!(
                     task:% = task, run = run, worker:% = id, why:% = why, age_ms = age,
-                    proven = attempt.is_proven(alive);
+                    proven = attempt.passed_probation(alive);
                     "run lost"
                 );
             }
             self.release(task, run, id);
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.drop_run(task, run);
+                worker.deallocate(task, run);
             }
         }
     }
@@ -100,11 +112,15 @@
     /// earlier life are carried out in the new one. Given up as lost with that life, their
     /// tasks would run a second time beside them. A run that was never listed may be there, so it
     /// counts as the new life's until the lists or the order's answer settle it.
-    pub(crate) fn lose_older(&mut self, id: &WorkerId, born: u64) {
+    pub(crate) fn lose_older_runs(&mut self, id: &WorkerId, born: u64) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let held: Vec<(TaskId, u32)> = worker.held.iter().map(|(t, h)| (*t, h.run)).collect();
+        let held: Vec<(TaskId, u32)> = worker
+            .allocations
+            .iter()
+            .map(|(t, h)| (*t, h.run))
+            .collect();
         let (mut gone, mut doubtful) = (Vec::new(), Vec::new());
         for (task, run) in held {
             if let Some(attempt) = self.attempt_mut(task, run, id).filter(|c| !c.listed) {
@@ -125,11 +141,11 @@
     }
 
     /// Lasting runs leave a worker that leaves.
-    pub(crate) fn leave(&mut self, id: &WorkerId) {
+    pub(crate) fn stop_lasting(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let lasting = worker.held.iter().filter(|(_, h)| h.lasting);
+        let lasting = worker.allocations.iter().filter(|(_, h)| h.lasting);
         let lasting: Vec<(TaskId, u32)> = lasting.map(|(t, h)| (*t, h.run)).collect();
         for (task, run) in lasting {
             log::info!(task:% = task, run = run, worker:% = id; "run leaves a leaving worker");
--- a/crates/cell/src/output.rs
+++ b/crates/cell/src/output.rs
@@ -19,18 +19,18 @@
     /// them. Nothing depends on it.
     DropSubmissions(Vec<JobId>),
     /// Renew a worker's lease and look at it, in place of any earlier look that is under way.
-    /// Answer: [`crate::Cell::looked`].
-    Look {
+    /// Answer: [`crate::Cell::poll_answered`].
+    PollWorker {
         /// The worker.
         worker: WorkerId,
         /// Where it is.
         addr: SocketAddr,
         /// Number to answer with.
-        look: u64,
+        number: u64,
         /// The order.
         order: HoldOrder,
     },
-    /// Start a run. Answer: [`crate::Cell::started`].
+    /// Start a run. Answer: [`crate::Cell::start_answered`].
     Start {
         /// The worker.
         worker: WorkerId,
@@ -48,7 +48,7 @@
         /// The order.
         order: StopOrder,
     },
-    /// Throttle a run. Answer: [`crate::Cell::paced`].
+    /// Throttle a run. Answer: [`crate::Cell::pace_answered`].
     Pace {
         /// The worker.
         worker: WorkerId,
@@ -58,7 +58,7 @@
         order: PaceOrder,
     },
     /// Ask the policy service. Answer: [`crate::Cell::advised`].
-    Ask {
+    RequestAdvice {
         /// The step.
         step: StepId,
         /// Workers to name.
--- a/crates/cell/src/pacing.rs
+++ b/crates/cell/src/pacing.rs
@@ -14,34 +14,34 @@
 use crate::output::Output;
 
 /// Share of its target from which a serving task is in danger.
-const DANGER: f64 = 0.9;
+const CUT_THRESHOLD: f64 = 0.9;
 
 /// Share of its target below which filling work may come back.
-const SAFE: f64 = 0.6;
+const RAISE_THRESHOLD: f64 = 0.6;
 
 /// Time over which a worker averages the figures that it shows.
-const AVERAGED: Duration = Duration::from_millis(500);
+const GAUGE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Factor by which filling work is cut down: 100, 40, 16, 6, 2, 0 percent.
-const CUT: f64 = 0.4;
+const CUT_FACTOR: f64 = 0.4;
 
 /// Time between two steps up, and their size in percent.
-const RISE_EVERY: Duration = Duration::from_millis(2_000);
-const RISE: u32 = 15;
+const RAISE_INTERVAL: Duration = Duration::from_millis(2_000);
+const RAISE_STEP: u32 = 15;
 
 /// How fast filling work may go on one worker.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Throttle {
     pub(crate) percent: u32,
     /// When it was last changed.
-    at: Time,
+    changed_at: Time,
 }
 
 impl Default for Throttle {
     fn default() -> Self {
         Self {
             percent: 100,
-            at: Time::default(),
+            changed_at: Time::default(),
         }
     }
 }
@@ -49,13 +49,13 @@
 impl Throttle {
     /// Takes in the worst tail latency on the worker, as a share of its target.
     pub(crate) fn adjust(&mut self, worst: f64, settle: Duration, now: Time) {
-        let passed = now.since(self.at);
-        if worst > DANGER && self.percent > 0 && passed >= settle {
-            self.percent = (f64::from(self.percent) * CUT) as u32;
-            self.at = now;
-        } else if worst < SAFE && self.percent < 100 && passed >= RISE_EVERY {
-            self.percent = (self.percent + RISE).min(100);
-            self.at = now;
+        let passed = now.since(self.changed_at);
+        if worst > CUT_THRESHOLD && self.percent > 0 && passed >= settle {
+            self.percent = (f64::from(self.percent) * CUT_FACTOR) as u32;
+            self.changed_at = now;
+        } else if worst < RAISE_THRESHOLD && self.percent < 100 && passed >= RAISE_INTERVAL {
+            self.percent = (self.percent + RAISE_STEP).min(100);
+            self.changed_at = now;
         }
     }
 }
@@ -64,11 +64,11 @@
     /// Sets the pace of what fills on a worker by what its serving tasks show.
     pub(crate) fn pace_fillers(&mut self, id: &WorkerId) {
         let now = self.now;
-        let settle = self.bounds.pace.duration() + AVERAGED;
+        let settle = self.bounds.pace_delay.duration() + GAUGE_WINDOW;
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let held = worker.held.iter();
+        let held = worker.allocations.iter();
         let fillers: Vec<(TaskId, u32)> = held
             .clone()
             .filter(|(_, h)| h.filler)
@@ -79,7 +79,7 @@
         }
         let serving = held.filter(|(_, h)| h.serves);
         let worst = serving
-            .filter_map(|(task, h)| self.strain(*task, h.run, id))
+            .filter_map(|(task, h)| self.latency_ratio(*task, h.run, id))
             .fold(0.0, f64::max);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -115,7 +115,13 @@
     ///
     /// One without an answer may be carried out after a newer one; a newer fencing token shuts
     /// it out, and the pace is told again.
-    pub fn paced(&mut self, now: Time, id: &WorkerId, order: &PaceOrder, outcome: PlainOutcome) {
+    pub fn pace_answered(
+        &mut self,
+        now: Time,
+        id: &WorkerId,
+        order: &PaceOrder,
+        outcome: PlainOutcome,
+    ) {
         self.now = now;
         if outcome == PlainOutcome::Done {
             return;
@@ -124,12 +130,12 @@
             attempt.pace = None;
         }
         if outcome == PlainOutcome::Unknown {
-            self.doubt(id, "throttle order without an answer");
+            self.fence_off(id, "throttle order without an answer");
         }
     }
 
     /// Tail latency of a serving run as a share of its target.
-    fn strain(&self, task: TaskId, run: u32, id: &WorkerId) -> Option<f64> {
+    fn latency_ratio(&self, task: TaskId, run: u32, id: &WorkerId) -> Option<f64> {
         let job = self.jobs.get(&task.job())?;
         let target = job.step(task)?.target.get() as f64;
         let tasks = &job.step_run(task)?.tasks;
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -96,7 +96,7 @@
     let home = constraints.home;
     let rack = home.and_then(|h| Some(Scope::Rack(&h.zone, h.rack.as_deref()?)));
     let scopes = [
-        near.map(Scope::Named),
+        near.map(Scope::RackName),
         rack,
         home.map(|h| Scope::Zone(&h.zone)),
         Some(Scope::All),
@@ -119,7 +119,7 @@
     wanted: &impl Fn(&Worker) -> bool,
 ) -> Option<&'a Worker> {
     let need = constraints.step.reserved().cpu;
-    let worker = |number| workers.at(number).filter(|w| wanted(w));
+    let worker = |number| workers.by_number(number).filter(|w| wanted(w));
     match constraints.pack {
         true => free_index.fullest(scope, need).find_map(worker),
         false => free_index.emptiest(scope, need).find_map(worker),
@@ -134,7 +134,7 @@
     now: Time,
 ) -> Option<&'a Worker> {
     let roomy = free_index.fullest(Scope::All, constraints.step.reserved().cpu);
-    let fitting = roomy.filter_map(|n| workers.at(n));
+    let fitting = roomy.filter_map(|n| workers.by_number(n));
     let fitting = fitting.filter(|w| fits(w, constraints, now));
     fitting.min_by_key(|w| cost(w, constraints))
 }
@@ -148,9 +148,9 @@
         step.spread == 0 || beside < step.spread
     };
     step.reserved().fits(w.free())
-        && w.is_open(now)
+        && w.is_schedulable(now)
         && (constraints.suspect || !w.is_reserved(now))
-        && (!w.health.is_on_trial() || w.held.is_empty())
+        && (!w.health.is_on_trial() || w.allocations.is_empty())
         && step.label.as_ref().is_none_or(labelled)
         && apart()
         && constraints.allowed.is_none_or(|a| a.contains(&w.id))
--- a/crates/cell/src/probation.rs
+++ b/crates/cell/src/probation.rs
@@ -10,21 +10,21 @@
 const PROBATION: Duration = Duration::from_millis(100);
 
 /// Time at work after which earlier crashes of a task's workers say nothing against it any more.
-const CLEARED: Duration = Duration::from_secs(10);
+const EXONERATION: Duration = Duration::from_secs(10);
 
 impl Attempt {
     /// Whether a worker that last answered at `alive` has outlived the start of this run.
-    pub(crate) fn is_proven(&self, alive: Time) -> bool {
-        self.was_at_work(alive, PROBATION)
+    pub(crate) fn passed_probation(&self, alive: Time) -> bool {
+        self.ran_for(alive, PROBATION)
     }
 
     /// Whether the run was there for so long that it has hardly anything to do with its worker's end.
-    pub(crate) fn is_cleared(&self, alive: Time) -> bool {
-        self.was_at_work(alive, CLEARED)
+    pub(crate) fn is_exonerated(&self, alive: Time) -> bool {
+        self.ran_for(alive, EXONERATION)
     }
 
-    fn was_at_work(&self, alive: Time, least: Duration) -> bool {
+    fn ran_for(&self, alive: Time, least: Duration) -> bool {
         // An order without an answer may be carried out at any time.
-        self.sure && alive >= self.started.after(least)
+        self.start_confirmed && alive >= self.started.after(least)
     }
 }
--- a/crates/cell/src/run_state.rs
+++ b/crates/cell/src/run_state.rs
@@ -42,7 +42,7 @@
     /// Invariant: at most one unless the step is speculative; all on different workers.
     pub(crate) attempts: Vec<Attempt>,
     /// Its last run was given up while its worker was silent, and may have been done.
-    pub(crate) given_up: bool,
+    pub(crate) abandoned: bool,
     /// Workers that ended under it, oldest first; none once it has been at work for long.
     pub(crate) crashes: Vec<Crash>,
     /// Worker of the last run that failed.
@@ -87,7 +87,7 @@
     }
 
     /// Whether it should run and has no run anywhere.
-    pub(crate) fn is_free(&self) -> bool {
+    pub(crate) fn is_pending(&self) -> bool {
         !self.done && self.attempts.is_empty()
     }
 }
--- a/crates/cell/src/running.rs
+++ b/crates/cell/src/running.rs
@@ -7,37 +7,37 @@
 
 use crate::attempt::{Attempt, Phase};
 use crate::cell::Cell;
-use crate::progress::stands_still;
+use crate::progress::is_stalled;
 
 /// Time after which an order to stop is repeated if the run is still listed.
-const STOP_AGAIN: Duration = Duration::from_millis(400);
+const STOP_RETRY: Duration = Duration::from_millis(400);
 
 /// What a listed run asks for.
-enum Need {
+enum RunAction {
     /// Nobody wants it there.
-    Unwanted,
+    StopUnwanted,
     /// It was told to stop, some time ago.
-    StopAgain,
+    RepeatStop,
     /// It makes no progress.
-    Leave,
+    Relocate,
 }
 
 impl Cell {
     /// Runs that are there.
-    pub(crate) fn take_running(&mut self, id: &WorkerId, running: &[Running]) {
+    pub(crate) fn apply_running(&mut self, id: &WorkerId, running: &[Running]) {
         if let Some(worker) = self.workers.get_mut(id) {
-            let lasting = |r: &&Running| worker.held.get(&r.task).is_some_and(|h| h.lasting);
+            let lasting = |r: &&Running| worker.allocations.get(&r.task).is_some_and(|h| h.lasting);
             let mut lasting = running.iter().filter(lasting);
-            worker.waking = lasting.any(|r| r.percent < 100);
+            worker.warming_up = lasting.any(|r| r.percent < 100);
         }
         let mut stray = false;
         for row in running {
             let (task, run) = (row.task, row.run);
-            match self.take_row(id, row) {
+            match self.apply_row(id, row) {
                 None => {}
-                Some(Need::Leave) => self.leave_sick(id, task, run),
-                Some(Need::StopAgain) => self.send_stop(id, task, run),
-                Some(Need::Unwanted) => {
+                Some(RunAction::Relocate) => self.relocate_stalled(id, task, run),
+                Some(RunAction::RepeatStop) => self.send_stop(id, task, run),
+                Some(RunAction::StopUnwanted) => {
                     stray = true;
                     log::warn!(task:% = task, run = run, worker:% = id; "unwanted run is stopped");
                     self.send_stop(id, task, run);
@@ -45,12 +45,12 @@
             }
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            self.stirred |= worker.stray && !stray;
-            worker.stray = stray;
+            self.reschedule |= worker.stray_run && !stray;
+            worker.stray_run = stray;
         }
     }
 
-    fn take_row(&mut self, id: &WorkerId, row: &Running) -> Option<Need> {
+    fn apply_row(&mut self, id: &WorkerId, row: &Running) -> Option<RunAction> {
         let now = self.now;
         let job_id = row.task.job();
         if self.jobs.get(&job_id).is_some_and(|j| !j.started) {
@@ -60,34 +60,34 @@
             }
         }
         let Some(job) = self.jobs.observe(&job_id) else {
-            return Some(Need::Unwanted);
+            return Some(RunAction::StopUnwanted);
         };
         let lasting = job.step(row.task).is_some_and(|s| s.lasting);
         let Some(task) = job.task_mut(row.task) else {
-            return Some(Need::Unwanted);
+            return Some(RunAction::StopUnwanted);
         };
         let mut attempts = task.attempts.iter_mut();
         let attempt = attempts.find(|c| c.worker == *id && c.run == row.run);
         let Some(attempt) = attempt else {
-            return Some(Need::Unwanted);
+            return Some(RunAction::StopUnwanted);
         };
         task.started = true;
         if !row.checkpoint.is_empty() {
             task.checkpoint.clone_from(&row.checkpoint);
         }
-        see(attempt, row, now);
-        if attempt.phase == Phase::Stopping && now.since(attempt.since) >= STOP_AGAIN {
-            attempt.since = now;
-            return Some(Need::StopAgain);
+        record_row(attempt, row, now);
+        if attempt.phase == Phase::Stopping && now.since(attempt.phase_since) >= STOP_RETRY {
+            attempt.phase_since = now;
+            return Some(RunAction::RepeatStop);
         }
         let still = self.policy.progress
             && attempt.phase == Phase::Running
-            && stands_still(attempt, lasting, now);
-        still.then_some(Need::Leave)
+            && is_stalled(attempt, lasting, now);
+        still.then_some(RunAction::Relocate)
     }
 
     /// A run stands still where it is: it is stopped, and starts elsewhere.
-    fn leave_sick(&mut self, id: &WorkerId, task: TaskId, run: u32) {
+    fn relocate_stalled(&mut self, id: &WorkerId, task: TaskId, run: u32) {
         let now = self.now;
         log::warn!(task:% = task, run = run, worker:% = id; "run stands still: it leaves its worker");
         let job = self.jobs.get_mut(&task.job());
@@ -102,8 +102,8 @@
 }
 
 /// Notes what a row says of a run.
-fn see(attempt: &mut Attempt, row: &Running, now: Time) {
-    attempt.sure = true;
+fn record_row(attempt: &mut Attempt, row: &Running, now: Time) {
+    attempt.start_confirmed = true;
     attempt.listed = true;
     attempt.crash = None;
     if matches!(
@@ -112,10 +112,10 @@
     ) {
         attempt.enter(Phase::Running, now);
         attempt.started = now;
-        attempt.moved = now;
+        attempt.last_progress = now;
     }
     if row.percent > attempt.percent || row.percent >= 100 {
-        attempt.moved = now;
+        attempt.last_progress = now;
     }
     attempt.percent = row.percent;
     attempt.gauge = row.gauge;
--- a/crates/cell/src/schedule.rs
+++ b/crates/cell/src/schedule.rs
@@ -17,7 +17,7 @@
 use crate::rank::{Rank, rank};
 use crate::run_state::StepRun;
 use crate::wait_queue::QueuedJob;
-use crate::worker::Held;
+use crate::worker::Allocation;
 
 /// Tasks without a place after which a round leaves a service: those behind seldom fit either.
 const MAX_MISSES: usize = 24;
@@ -143,7 +143,8 @@
         let choices = self.pick_workers(&at, step, service, allowed.as_deref(), misses);
         if step.gang && choices.len() < step.count as usize {
             for choice in &choices {
-                self.workers.let_go(&choice.worker, choice.task, choice.run);
+                self.workers
+                    .cancel_allocation(&choice.worker, choice.task, choice.run);
             }
             return;
         }
@@ -203,7 +204,7 @@
                 rack: chosen.rack.as_deref(),
                 home: chosen.home.as_ref().filter(|_| self.policy.home),
                 allowed,
-                due: &self.due,
+                due: &self.maintenance_due,
                 pack: self.policy.pack,
             };
             let worker = match self.place(service, &constraints) {
@@ -224,7 +225,7 @@
             }
             let choice = Choice::new(at.id, index, &run.tasks[index], worker);
             self.workers
-                .hold(&choice.worker, choice.task, held(choice.run, step));
+                .allocate(&choice.worker, choice.task, held(choice.run, step));
             let place = self.workers.get(&choice.worker);
             chosen.add(choice, step, place.and_then(|w| w.entry.as_ref()));
         }
@@ -302,7 +303,7 @@
             return;
         };
         state.run = run;
-        let given_up = std::mem::take(&mut state.given_up);
+        let given_up = std::mem::take(&mut state.abandoned);
         let suspect = state.is_suspect() && !step.gang;
         let mut attempt = Attempt::new(worker.clone(), place.born, run, Phase::Planned, now);
         attempt.fence = place.fence;
@@ -319,8 +320,8 @@
     }
 }
 
-pub(crate) fn held(run: u32, step: &Step) -> Held {
-    Held {
+pub(crate) fn held(run: u32, step: &Step) -> Allocation {
+    Allocation {
         run,
         room: step.reserved(),
         lasting: step.lasting,
@@ -333,7 +334,7 @@
     job.turns.iter().any(|turn| {
         let steps = turn.steps.iter().zip(job.sub.steps.iter());
         let mut open = steps.filter(|(run, step)| !run.is_done() && turn.is_ready(step));
-        open.any(|(run, _)| run.tasks.iter().any(|t| t.is_free()))
+        open.any(|(run, _)| run.tasks.iter().any(|t| t.is_pending()))
     })
 }
 
@@ -345,14 +346,14 @@
     let steps = steps.flat_map(|turn| turn.steps.iter().zip(job.sub.steps.iter()));
     let steps = steps.filter(|(_, step)| step.reserved().fits(largest));
     steps.fold((0, 0), |(tasks, work), (run, step)| {
-        let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
+        let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
         let each = step.room.cpu * step.estimate.get();
         (tasks + free, work + free * each)
     })
 }
 
 fn free_tasks(run: &StepRun, step: &Step) -> Vec<usize> {
-    let free = run.tasks.iter().enumerate().filter(|(_, t)| t.is_free());
+    let free = run.tasks.iter().enumerate().filter(|(_, t)| t.is_pending());
     let free: Vec<usize> = free.map(|(i, _)| i).collect();
     match step.gang && free.len() < run.tasks.len() {
         // A gang starts whole: its last run has to be over first.
--- a/crates/cell/src/starts.rs
+++ b/crates/cell/src/starts.rs
@@ -9,14 +9,14 @@
 use crate::batch::PlannedStart;
 use crate::cell::Cell;
 use crate::output::Output;
-use crate::worker::Looking;
+use crate::worker::PollState;
 
 /// Time for which a worker that said it has no room gets nothing more.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
 
 impl Cell {
     /// Orders a run that the journal holds by now.
-    pub(crate) fn order(&mut self, start: PlannedStart) {
+    pub(crate) fn send_start(&mut self, start: PlannedStart) {
         let (now, lease) = (self.now, self.bounds.lease);
         let PlannedStart { task, run, worker } = start;
         let Some(attempt) = self.attempt_mut(task, run, &worker) else {
@@ -36,7 +36,7 @@
             self.release(task, run, &worker);
             return;
         };
-        if place.is_overfull() {
+        if place.is_overcommitted() {
             log::info!(task:% = task, run = run, worker:% = worker; "start dropped: the room has shrunk");
             self.release(task, run, &worker);
             return;
@@ -75,7 +75,7 @@
     }
 
     /// What became of an order to start.
-    pub fn started(
+    pub fn start_answered(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -90,12 +90,12 @@
         let phase = attempt.phase;
         match outcome {
             StartOutcome::Started => {
-                attempt.sure = true;
+                attempt.start_confirmed = true;
                 if phase == Phase::Ordered {
                     attempt.enter(Phase::Running, now);
                     attempt.started = now;
-                    attempt.moved = now;
-                    self.watch(id, task);
+                    attempt.last_progress = now;
+                    self.poll_after_start(id, task);
                 }
                 let job = self.jobs.get(&task.job());
                 if job.is_some_and(|j| !j.started)
@@ -105,21 +105,21 @@
                 }
             }
             StartOutcome::NotSent => {
-                self.look_soon(id);
+                self.poll_soon(id);
                 self.release_unstarted(task, run, id, phase);
             }
-            StartOutcome::Refused(refusal) => self.refused(task, run, id, phase, refusal),
+            StartOutcome::Refused(refusal) => self.start_refused(task, run, id, phase, refusal),
             StartOutcome::Unknown => {
                 if phase == Phase::Ordered {
                     attempt.enter(Phase::Unknown, now);
                 }
                 log::warn!(task:% = task, run = run, worker:% = id; "start order without an answer");
-                self.doubt(id, "no answer");
+                self.fence_off(id, "no answer");
             }
         }
     }
 
-    fn refused(
+    fn start_refused(
         &mut self,
         task: TaskId,
         run: u32,
@@ -132,7 +132,7 @@
         match refusal {
             StartRefusal::Room => {
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.full_until = now.after(FULL_PAUSE);
+                    worker.full_until = now.after(FULL_BACKOFF);
                 }
             }
             StartRefusal::Ticket => self.forget_ticket(task.step, id),
@@ -142,7 +142,7 @@
                 }
             }
             StartRefusal::Fence | StartRefusal::Late | StartRefusal::OtherLife => {
-                self.look_soon(id);
+                self.poll_soon(id);
             }
             StartRefusal::Old | StartRefusal::Malformed => {}
         }
@@ -162,37 +162,37 @@
     /// started elsewhere; the caller's work runs twice. A worker does nothing for a token below
     /// the highest it has seen, so once it has answered a look under the new one, an older order
     /// that has not started its run never will.
-    pub(crate) fn doubt(&mut self, id: &WorkerId, why: &str) {
+    pub(crate) fn fence_off(&mut self, id: &WorkerId, why: &str) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         self.fence += 1;
         worker.raise_fence(self.fence);
-        worker.looking = Looking::Due(self.now);
+        worker.poll_state = PollState::Due(self.now);
         log::info!(worker:% = id, why:% = why, fence = worker.fence; "worker in doubt");
     }
 
     /// A run has started: looks show soon when lasting work is at work, and whether a suspect has
     /// taken the worker down.
-    fn watch(&mut self, id: &WorkerId, task: TaskId) {
+    fn poll_after_start(&mut self, id: &WorkerId, task: TaskId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let lasting = worker.held.get(&task).is_some_and(|h| h.lasting);
-        worker.waking |= lasting;
-        if lasting || worker.trial == Some(task) {
-            worker.looking = Looking::Due(now);
+        let lasting = worker.allocations.get(&task).is_some_and(|h| h.lasting);
+        worker.warming_up |= lasting;
+        if lasting || worker.trial_task == Some(task) {
+            worker.poll_state = PollState::Due(now);
         }
     }
 
     /// Something does not fit what is believed of a worker: it gets nothing until a look has
     /// told more.
-    fn look_soon(&mut self, id: &WorkerId) {
+    fn poll_soon(&mut self, id: &WorkerId) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.looking = Looking::Due(now);
-            worker.full_until = worker.full_until.max(now.after(FULL_PAUSE));
+            worker.poll_state = PollState::Due(now);
+            worker.full_until = worker.full_until.max(now.after(FULL_BACKOFF));
         }
     }
 }
--- a/crates/cell/src/tallies.rs
+++ b/crates/cell/src/tallies.rs
@@ -4,9 +4,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tallies {
     /// Workers whose life ended with runs on it, and no order of ours had ended it.
-    pub ended: u64,
+    pub workers_ended: u64,
     /// Runs that were lost with such a worker.
-    pub lost: u64,
+    pub runs_lost: u64,
     /// Jobs that were given up since a task of theirs takes its workers down.
-    pub given_up: u64,
+    pub jobs_given_up: u64,
 }
--- a/crates/cell/src/workers.rs
+++ b/crates/cell/src/workers.rs
@@ -7,24 +7,24 @@
 use cactuswheel_work::{ServiceName, TaskId, WorkerId};
 
 use crate::free_index::{FreeIndex, Place};
-use crate::worker::{Held, Looking, Worker};
+use crate::worker::{Allocation, PollState, Worker};
 
 /// Pause between looks at a worker with ends that the journal does not reflect yet.
-const UNTOLD_PAUSE: Duration = Duration::from_millis(1_000);
+const UNJOURNALED_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Longest time for which a worker is kept for a task that may take it down.
-const RESERVATION: Duration = Duration::from_secs(1);
+const RESERVATION_TTL: Duration = Duration::from_secs(1);
 
 /// What a worker was last entered under.
 #[derive(Debug, Default)]
-pub(crate) struct Marks {
+pub(crate) struct IndexedState {
     /// Its state may have changed since.
     touched: bool,
     place: Option<(ServiceName, Place)>,
-    look: Option<Time>,
+    poll: Option<Time>,
     silent: bool,
     evacuating: bool,
-    fresh: bool,
+    unjournaled: bool,
 }
 
 /// The workers that a cell knows, and which of them have something to be done.
@@ -37,17 +37,17 @@
 pub(crate) struct Workers {
     all: Map<WorkerId, Worker>,
     /// By number; numbers are not used again.
-    names: Vec<WorkerId>,
+    numbered: Vec<WorkerId>,
     touched: Vec<WorkerId>,
     free_index: Map<ServiceName, FreeIndex>,
     /// When each is to be looked at next.
-    looks: BTreeSet<(Time, u32)>,
+    polls: BTreeSet<(Time, u32)>,
     /// Those that left a look unanswered, or are listed no more.
     silent: Set<WorkerId>,
     /// Those that lasting work leaves.
     evacuating: Set<WorkerId>,
     /// Those with ends that the journal does not reflect yet.
-    fresh: Set<WorkerId>,
+    unjournaled: Set<WorkerId>,
     /// Those that are kept for tasks which may take them down.
     reserved: Vec<WorkerId>,
 }
@@ -60,7 +60,7 @@
     /// A worker whose state changes.
     pub(crate) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         let worker = self.all.get_mut(id)?;
-        if !std::mem::replace(&mut worker.marks.touched, true) {
+        if !std::mem::replace(&mut worker.indexed.touched, true) {
             self.touched.push(id.clone());
         }
         Some(worker)
@@ -69,8 +69,8 @@
     /// A worker whose state changes; one that is not known is made.
     pub(crate) fn get_or_add(&mut self, id: &WorkerId, fence: u64, now: Time) -> &mut Worker {
         if !self.all.contains_key(id) {
-            let number = self.names.len() as u32;
-            self.names.push(id.clone());
+            let number = self.numbered.len() as u32;
+            self.numbered.push(id.clone());
             let worker = Worker::new(id.clone(), number, fence, now);
             self.all.insert(id.clone(), worker);
         }
@@ -81,18 +81,18 @@
         let Some(worker) = self.all.remove(id) else {
             return;
         };
-        let marks = worker.marks;
+        let marks = worker.indexed;
         if let Some((service, place)) = marks.place
             && let Some(free_index) = self.free_index.get_mut(&service)
         {
             free_index.remove(worker.number, &place);
         }
-        if let Some(at) = marks.look {
-            self.looks.remove(&(at, worker.number));
+        if let Some(at) = marks.poll {
+            self.polls.remove(&(at, worker.number));
         }
         self.silent.remove(id);
         self.evacuating.remove(id);
-        self.fresh.remove(id);
+        self.unjournaled.remove(id);
     }
 
     pub(crate) fn values(&self) -> impl Iterator<Item = &Worker> {
@@ -109,8 +109,8 @@
     }
 
     /// The worker of a number that [`FreeIndex`] gave.
-    pub(crate) fn at(&self, number: u32) -> Option<&Worker> {
-        self.all.get(self.names.get(number as usize)?)
+    pub(crate) fn by_number(&self, number: u32) -> Option<&Worker> {
+        self.all.get(self.numbered.get(number as usize)?)
     }
 
     /// Workers of a service that may take work.
@@ -119,18 +119,18 @@
     }
 
     /// A run takes room on a worker, seen by the next choice of a place.
-    pub(crate) fn hold(&mut self, id: &WorkerId, task: TaskId, held: Held) {
+    pub(crate) fn allocate(&mut self, id: &WorkerId, task: TaskId, held: Allocation) {
         if let Some(worker) = self.all.get_mut(id) {
-            worker.hold(task, held);
-            self.index(id);
+            worker.allocate(task, held);
+            self.reindex(id);
         }
     }
 
     /// The room of a run that was not planned after all is free again.
-    pub(crate) fn let_go(&mut self, id: &WorkerId, task: TaskId, run: u32) {
+    pub(crate) fn cancel_allocation(&mut self, id: &WorkerId, task: TaskId, run: u32) {
         if let Some(worker) = self.all.get_mut(id) {
-            worker.drop_run(task, run);
-            self.index(id);
+            worker.deallocate(task, run);
+            self.reindex(id);
         }
     }
 
@@ -139,8 +139,8 @@
         let Some(worker) = self.get_mut(id) else {
             return;
         };
-        worker.reserved = now.after(RESERVATION);
-        worker.looking = Looking::Due(now);
+        worker.reserved_until = now.after(RESERVATION_TTL);
+        worker.poll_state = PollState::Due(now);
         if !self.reserved.contains(id) {
             self.reserved.push(id.clone());
         }
@@ -152,7 +152,7 @@
     }
 
     /// Drops reservations that are over; true if there were any.
-    pub(crate) fn end_reservations(&mut self, now: Time) -> bool {
+    pub(crate) fn expire_reservations(&mut self, now: Time) -> bool {
         let before = self.reserved.len();
         let all = &self.all;
         self.reserved
@@ -171,38 +171,38 @@
     }
 
     /// Those with ends that the journal does not reflect yet.
-    pub(crate) fn fresh(&self) -> impl Iterator<Item = &Worker> {
-        self.fresh.iter().filter_map(|id| self.all.get(id))
+    pub(crate) fn unjournaled(&self) -> impl Iterator<Item = &Worker> {
+        self.unjournaled.iter().filter_map(|id| self.all.get(id))
     }
 
     /// Those that are to be looked at by now.
-    pub(crate) fn due(&self, now: Time) -> Vec<WorkerId> {
-        let due = self.looks.range(..=(now, u32::MAX));
-        let names = due.filter_map(|(_, n)| self.names.get(*n as usize));
-        names.cloned().collect()
+    pub(crate) fn due_for_poll(&self, now: Time) -> Vec<WorkerId> {
+        let due = self.polls.range(..=(now, u32::MAX));
+        let ids = due.filter_map(|(_, n)| self.numbered.get(*n as usize));
+        ids.cloned().collect()
     }
 
     /// When the next one is to be looked at.
-    pub(crate) fn next_look(&self) -> Option<Time> {
-        self.looks.first().map(|(at, _)| *at)
+    pub(crate) fn next_poll(&self) -> Option<Time> {
+        self.polls.first().map(|(at, _)| *at)
     }
 
     /// Derives anew what follows from the state of those that changed.
     pub(crate) fn settle(&mut self) {
         for id in std::mem::take(&mut self.touched) {
-            self.index(&id);
+            self.reindex(&id);
         }
     }
 
-    fn index(&mut self, id: &WorkerId) {
+    fn reindex(&mut self, id: &WorkerId) {
         let Some(worker) = self.all.get_mut(id) else {
             return;
         };
         let number = worker.number;
-        worker.marks.touched = false;
+        worker.indexed.touched = false;
         let place = worker.place();
-        if place != worker.marks.place {
-            let before = std::mem::replace(&mut worker.marks.place, place.clone());
+        if place != worker.indexed.place {
+            let before = std::mem::replace(&mut worker.indexed.place, place.clone());
             if let Some((service, place)) = before
                 && let Some(free_index) = self.free_index.get_mut(&service)
             {
@@ -215,24 +215,32 @@
                     .insert(number, &place);
             }
         }
-        let look = worker.next_look();
-        if look != worker.marks.look {
-            if let Some(at) = std::mem::replace(&mut worker.marks.look, look) {
-                self.looks.remove(&(at, number));
+        let look = worker.next_poll();
+        if look != worker.indexed.poll {
+            if let Some(at) = std::mem::replace(&mut worker.indexed.poll, look) {
+                self.polls.remove(&(at, number));
             }
-            self.looks.extend(look.map(|at| (at, number)));
+            self.polls.extend(look.map(|at| (at, number)));
         }
-        let silent = worker.missed > 0 || worker.entry.is_none();
-        let (evacuating, fresh) = (worker.evacuating, worker.notable() != worker.noted);
-        let marks = &mut worker.marks;
-        mark(&mut self.silent, id, &mut marks.silent, silent);
-        mark(&mut self.evacuating, id, &mut marks.evacuating, evacuating);
-        mark(&mut self.fresh, id, &mut marks.fresh, fresh);
+        let silent = worker.missed_polls > 0 || worker.entry.is_none();
+        let (evacuating, unjournaled) = (
+            worker.evacuating,
+            worker.acknowledgeable_end() != worker.journaled_end,
+        );
+        let marks = &mut worker.indexed;
+        update_membership(&mut self.silent, id, &mut marks.silent, silent);
+        update_membership(&mut self.evacuating, id, &mut marks.evacuating, evacuating);
+        update_membership(
+            &mut self.unjournaled,
+            id,
+            &mut marks.unjournaled,
+            unjournaled,
+        );
     }
 }
 
 /// Puts `id` into a set or takes it out, if that is not so already.
-fn mark(set: &mut Set<WorkerId>, id: &WorkerId, before: &mut bool, now: bool) {
+fn update_membership(set: &mut Set<WorkerId>, id: &WorkerId, before: &mut bool, now: bool) {
     match (std::mem::replace(before, now), now) {
         (false, true) => {
             set.insert(id.clone());
@@ -247,7 +255,7 @@
 impl Worker {
     /// Where it may take work, if it may take any.
     fn place(&self) -> Option<(ServiceName, Place)> {
-        let entry = self.entry.as_ref().filter(|_| self.may_take())?;
+        let entry = self.entry.as_ref().filter(|_| self.can_accept())?;
         let place = Place {
             zone: entry.zone.clone(),
             rack: self.rack.clone(),
@@ -261,15 +269,15 @@
     /// One that is listed no more may live; what runs there ends as it says. An end is
     /// acknowledged once the journal reflects it; until then the answer would list it again, so
     /// looks come only as often as leases need.
-    fn next_look(&self) -> Option<Time> {
-        let Looking::Due(at) = self.looking else {
+    fn next_poll(&self) -> Option<Time> {
+        let PollState::Due(at) = self.poll_state else {
             return None;
         };
-        let wanted = self.entry.is_some() || !self.held.is_empty();
-        let told = self.notable() == self.noted;
+        let wanted = self.entry.is_some() || !self.allocations.is_empty();
+        let told = self.acknowledgeable_end() == self.journaled_end;
         let at = match told {
             true => at,
-            false => at.after(UNTOLD_PAUSE),
+            false => at.after(UNJOURNALED_DELAY),
         };
         (wanted && self.addr.is_some()).then_some(at)
     }
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -137,12 +137,12 @@
         match output {
             Output::Append(batch) => self.append(batch),
             Output::DropSubmissions(jobs) => self.drop_submissions(jobs),
-            Output::Look {
+            Output::PollWorker {
                 worker,
                 addr,
-                look,
+                number,
                 order,
-            } => self.order(worker, addr, Order::Look(look, order)),
+            } => self.order(worker, addr, Order::Look(number, order)),
             Output::Start {
                 worker,
                 addr,
@@ -158,7 +158,7 @@
                 addr,
                 order,
             } => self.order(worker, addr, Order::Pace(order)),
-            Output::Ask { step, workers } => self.ask(step, workers),
+            Output::RequestAdvice { step, workers } => self.ask(step, workers),
             // The owner acts on these.
             Output::Deposed { .. } | Output::Accepted(_) => {}
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -222,7 +222,7 @@
             Action::Order { order, worker } => {
                 // Nothing starts there between now and the order's arrival.
                 if let Some(worker) = &worker {
-                    cell.send_away(worker);
+                    cell.begin_removal(worker);
                 }
                 // Each order has a token of its own: an earlier one that is carried out late is
                 // shut out by the later, and cannot take the instance back.
--- a/crates/node/src/hand_ins.rs
+++ b/crates/node/src/hand_ins.rs
@@ -65,7 +65,7 @@
             return;
         }
         let now = self.shared.clock.now();
-        if let Some(writing) = cell.writing(now) {
+        if let Some(writing) = cell.append_age(now) {
             return self.refuse_overdue(now, writing);
         }
         for (sub, handed) in std::mem::take(&mut self.waiting) {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -133,9 +133,9 @@
 
     /// What the cell has counted since it was last asked.
     pub(crate) fn tallied(&self, since: Tallies) {
-        self.ended.add(since.ended, &[]);
-        self.lost.add(since.lost, &[]);
-        self.given_up.add(since.given_up, &[]);
+        self.ended.add(since.workers_ended, &[]);
+        self.lost.add(since.runs_lost, &[]);
+        self.given_up.add(since.jobs_given_up, &[]);
     }
 
     /// Share of the time for which the owner was at work, in percent.
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cactuswheel_capacity::LastOwner;
-use cactuswheel_cell::{Cell, Known, Output, Reads};
+use cactuswheel_cell::{Cell, Coverage, IntakeProgress, Output};
 use cactuswheel_model::Time;
 use cactuswheel_work::{InstanceOutcome, JobId, StartOutcome};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -107,7 +107,7 @@
         ),
         dispatcher: Dispatcher::new(shared.clone(), events.clone(), epoch),
         cell: taken.cell,
-        reads: Reads::new(taken.intake),
+        reads: IntakeProgress::new(taken.intake),
         parked: Vec::new(),
         hand_ins: HandIns::new(shared.clone()),
         events: events.clone(),
@@ -138,7 +138,7 @@
     dispatcher: Dispatcher,
     /// `None` where the platform has no service for instances.
     fleet: Option<Fleet>,
-    reads: Reads,
+    reads: IntakeProgress,
     parked: Vec<Parked>,
     hand_ins: HandIns,
     events: mpsc::Sender<Event>,
@@ -151,7 +151,7 @@
     async fn run(mut self, mut inbox: mpsc::Receiver<Event>) {
         loop {
             let now = self.shared.clock.now();
-            let sleep = self.cell.wake().since(now).min(MAX_SLEEP);
+            let sleep = self.cell.next_wake().since(now).min(MAX_SLEEP);
             let first = timeout(sleep, inbox.recv()).await;
             let woken = Instant::now();
             let mut deposed = false;
@@ -170,9 +170,9 @@
             if let Some(fleet) = &mut self.fleet {
                 fleet.plan(&mut self.cell);
             }
-            self.cell.confirmed(self.shared.lead_age());
-            self.cell.link_is_full(self.dispatcher.is_link_full());
-            self.cell.name_specs(self.dispatcher.names_specs());
+            self.cell.set_ownership_age(self.shared.lead_age());
+            self.cell.set_link_full(self.dispatcher.is_link_full());
+            self.cell.omit_specs(self.dispatcher.names_specs());
             let outputs = self
                 .cell
                 .poll(self.shared.clock.now(), self.shared.clock.wall());
@@ -200,11 +200,12 @@
     fn take_operators(&mut self) {
         let now = self.shared.clock.now();
         if let Some(config) = self.shared.config.load().as_ref()
-            && config.version > self.cell.version()
+            && config.version > self.cell.config_version()
         {
             self.cell.configure(now, config.clone());
         }
-        self.cell.evacuate_zones(now, &self.shared.evacuated.load());
+        self.cell
+            .set_evacuated_zones(now, &self.shared.evacuated.load());
     }
 
     /// Takes an event; true if a newer owner is at work.
@@ -214,15 +215,15 @@
             Event::HandIn(handed) => self.hand_ins.take(&self.cell, handed),
             Event::Intake(read) => self.take_records(read),
             Event::IntakeRead(part) => {
-                self.reads.over(part);
+                self.reads.finish_read(part);
                 self.answer_parked();
             }
             Event::Worker(entry) => {
                 self.dispatcher.place(&entry);
-                self.cell.list(now, entry);
+                self.cell.register_worker(now, entry);
             }
             Event::NoWorker(id) => {
-                self.cell.unlist(now, &id);
+                self.cell.unregister_worker(now, &id);
                 self.dispatcher.forget(&id);
             }
             Event::Listed => self.dispatcher.know_all(),
@@ -274,7 +275,7 @@
             Ask::View(reply) => drop(reply.send(cell_view(&self.cell))),
             Ask::Story(id, reply) => drop(reply.send(job_view(&self.cell, id))),
             Ask::Queue(name, reply) => {
-                let pending = self.cell.pending(&name);
+                let pending = self.cell.pending_jobs(&name);
                 drop(reply.send(QueueAnswer::Pending(pending)));
             }
         }
@@ -290,14 +291,14 @@
                     Err(_) => "failed",
                 };
                 self.shared.metrics.looked(outcome);
-                self.cell.looked(now, &id, look, answer);
+                self.cell.poll_answered(now, &id, look, answer);
             }
             // Relays' looks were made whole before.
             Report::Seen(..) => {}
             Report::Started(id, task, run, outcome) => {
-                self.cell.started(now, &id, task, run, outcome);
+                self.cell.start_answered(now, &id, task, run, outcome);
             }
-            Report::Paced(id, order, outcome) => self.cell.paced(now, &id, &order, outcome),
+            Report::Paced(id, order, outcome) => self.cell.pace_answered(now, &id, &order, outcome),
         }
     }
 
@@ -318,7 +319,7 @@
                 take_intake(&self.shared, &mut self.cell, now, &record.key, value);
             }
         }
-        self.reads.taken(read.part, read.next, read.whole);
+        self.reads.mark_read(read.part, read.next, read.whole);
         self.answer_parked();
     }
 
@@ -356,10 +357,10 @@
             return false;
         }
         let part = part_of(id, self.shared.settings.parts);
-        match self.reads.ask(part, since) {
-            Known::Yes => true,
-            Known::Wait => false,
-            Known::ReadFrom(from) => {
+        match self.reads.check(part, since) {
+            Coverage::Complete => true,
+            Coverage::Wait => false,
+            Coverage::ReadFrom(from) => {
                 let (shared, events) = (self.shared.clone(), self.events.clone());
                 tokio::spawn(read_intake(shared, events, part, from));
                 false
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -108,7 +108,7 @@
     let policy = shared.settings.policies.work.clone();
     let mut cell = Cell::new(bounds(shared), epoch, config).with_policy(policy);
     if !alone {
-        cell.expect_others();
+        cell.expect_previous_owner();
     }
     rebuild(shared, &mut cell, &intake, &journal)?;
     log::info!(
@@ -162,7 +162,7 @@
             cell.cancel(now, id);
         }
     }
-    cell.restored();
+    cell.finish_restore();
     Ok(())
 }
 
@@ -292,10 +292,10 @@
     let times = &shared.settings.times;
     Bounds {
         lease: times.lease.min(LEASE),
-        kept: times.kept,
-        pace: times.pace,
-        stop: times.stop,
-        batch: shared
+        retention: times.kept,
+        pace_delay: times.pace,
+        stop_time: times.stop,
+        max_batch: shared
             .settings
             .link
             .bytes_in(BATCH_TIME)
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -67,7 +67,7 @@
 
 /// The cell, for operators.
 pub(crate) fn cell_view(cell: &Cell) -> Value {
-    let queues = cell.queues().into_iter().map(|(name, (open, waiting))| {
+    let queues = cell.queue_lengths().into_iter().map(|(name, (open, waiting))| {
         value!({ "queue": name.as_str(), "open": open, "waiting": waiting })
     });
     let loads = cell.loads();
