--- a/crates/cell/src/accept.rs
+++ b/crates/cell/src/accept.rs
@@ -43,7 +43,7 @@
             self.usage.add(sub.team.as_ref(), step.room);
         }
         let job = self.jobs.get(&id);
-        self.timed
+        self.due_turns
             .extend(job.and_then(|j| Some((j.next_turn()?, id))));
         if job.is_some_and(|j| !j.is_open()) {
             self.open.remove(&id);
@@ -84,7 +84,7 @@
             log_accepted(&job);
         }
         self.count_arrival(&job);
-        self.timed.extend(job.next_turn().map(|due| (due, id)));
+        self.due_turns.extend(job.next_turn().map(|due| (due, id)));
         self.jobs.insert(id, job);
         self.open.insert(id);
         if self.cancelled.remove(&id) {
--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -68,7 +68,7 @@
             tickets.asked = open.take(NAMED).map(|w| w.id.clone()).collect();
             if !tickets.asked.is_empty() {
                 let workers = tickets.asked.clone();
-                self.out.push(Output::RequestAdvice { step, workers });
+                self.outputs.push(Output::RequestAdvice { step, workers });
             }
         }
         Permitted::Asked
--- a/crates/cell/src/blame.rs
+++ b/crates/cell/src/blame.rs
@@ -18,7 +18,7 @@
 const RESERVED_DIVISOR: usize = 2;
 
 /// Number of workers that are compared when placing a suspect, emptiest first.
-const CANDIDATES: usize = 16;
+const MAX_CANDIDATES: usize = 16;
 
 /// How long a suspect avoids the address of a worker that crashed. An instance that crashes by
 /// itself would count as evidence against the suspect.
@@ -218,7 +218,7 @@
         let roomy = free_index.emptiest(Scope::All, constraints.step.reserved().cpu);
         let fitting = roomy.filter_map(|n| self.workers.by_number(n));
         let fitting = fitting.filter(|w| fits(w, constraints, now));
-        let fitting: Vec<&Worker> = fitting.take(CANDIDATES).collect();
+        let fitting: Vec<&Worker> = fitting.take(MAX_CANDIDATES).collect();
         let cost = |w: &&Worker| {
             let crashed = w.addr.is_some_and(|a| self.crashed_recently(a));
             (crashed, is_far(w, constraints), w.used.cpu)
@@ -228,10 +228,10 @@
             return Placement::At(worker.id.clone());
         }
         let limit = (free_index.len() / RESERVED_DIVISOR).max(1);
-        let reserved = self.workers.reserved().filter(|w| w.belongs_to(service));
+        let in_use = self.workers.reserved().filter(|w| w.belongs_to(service));
         let free = fitting.into_iter().filter(|w| !w.is_reserved(now));
         match free.min_by_key(cost) {
-            Some(worker) if reserved.count() < limit => Placement::Reserve(worker.id.clone()),
+            Some(worker) if in_use.count() < limit => Placement::Reserve(worker.id.clone()),
             _ => Placement::Wait,
         }
     }
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -59,7 +59,7 @@
     /// Jobs with at least one task that waits for a worker.
     pub(crate) wait_queue: WaitQueue,
     /// When the next occurrence of each recurring job is due, in milliseconds since 1970.
-    pub(crate) timed: BTreeSet<(u64, JobId)>,
+    pub(crate) due_turns: BTreeSet<(u64, JobId)>,
     /// Jobs whose last record is in the journal; only this record is kept.
     ///
     /// Invariant: disjoint from `jobs`.
@@ -94,7 +94,7 @@
     /// When the append of that batch was requested.
     pub(crate) append_sent: Time,
     pub(crate) next_mark: u64,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     /// Run times and arrivals observed for each queue.
     pub(crate) learned: Map<QueueName, Learned>,
     /// Set by an event that may let a waiting task start; the next poll then runs the scheduler.
@@ -130,7 +130,7 @@
             jobs: Jobs::default(),
             open: Set::default(),
             wait_queue: WaitQueue::default(),
-            timed: BTreeSet::new(),
+            due_turns: BTreeSet::new(),
             finished: Map::default(),
             finished_order: VecDeque::new(),
             obsolete: Vec::new(),
@@ -150,7 +150,7 @@
             in_flight: None,
             append_sent: Time::default(),
             next_mark: 1,
-            out: Vec::new(),
+            outputs: Vec::new(),
             learned: Map::default(),
             reschedule: true,
             now: Time::default(),
@@ -271,8 +271,8 @@
     }
 
     /// Updates the indexes for the jobs and workers that changed since the last call.
-    pub(crate) fn settle(&mut self) {
-        self.workers.settle();
+    pub(crate) fn update_indexes(&mut self) {
+        self.workers.update_indexes();
         let due = self.wait_queue.due(self.now);
         for id in self.jobs.take_touched().into_iter().chain(due) {
             let queued = self.jobs.get(&id).and_then(|job| self.queued(job));
@@ -300,7 +300,7 @@
         self.poll_due_workers();
         self.count_room();
         self.log_backlog();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// Latest time for the next [`Self::poll`] if no event arrives before.
@@ -346,10 +346,10 @@
 
     /// Starts the occurrences of recurring jobs that are due.
     fn begin_due_turns(&mut self, wall: u64) {
-        while let Some(&(due, id)) = self.timed.first()
+        while let Some(&(due, id)) = self.due_turns.first()
             && due <= wall
         {
-            self.timed.pop_first();
+            self.due_turns.pop_first();
             let job = self.jobs.get_mut(&id).filter(|j| j.is_open());
             // A journal record of an earlier owner may already contain this occurrence.
             let Some(job) = job.filter(|j| j.next_turn() == Some(due)) else {
@@ -357,7 +357,7 @@
             };
             let next = job.turns.len() as u32;
             job.turns.push(Turn::new(next, &job.sub.steps));
-            self.timed.extend(job.next_turn().map(|due| (due, id)));
+            self.due_turns.extend(job.next_turn().map(|due| (due, id)));
             self.reschedule = true;
         }
     }
@@ -367,7 +367,7 @@
     fn expire_silent_workers(&mut self) {
         let (lease, overlap) = (self.bounds.lease, self.renewal_overlap);
         let now = self.now;
-        self.workers.settle();
+        self.workers.update_indexes();
         let expired: Vec<WorkerId> = self
             .workers
             .silent()
--- a/crates/cell/src/commit.rs
+++ b/crates/cell/src/commit.rs
@@ -34,7 +34,7 @@
             }
         }
         if !done.accepted.is_empty() {
-            self.out.push(Output::Accepted(done.accepted));
+            self.outputs.push(Output::Accepted(done.accepted));
         }
         for (id, state) in done.states {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -85,7 +85,7 @@
         }
         self.last_drop = self.now;
         let jobs = std::mem::take(&mut self.obsolete);
-        self.out.push(Output::DropSubmissions(jobs));
+        self.outputs.push(Output::DropSubmissions(jobs));
     }
 
     /// Puts what changed into a batch.
@@ -111,7 +111,7 @@
         self.admission.wrote(now.len(), draft.size);
         self.backlog.wrote(now.len(), draft.size);
         draft.done.starts = now;
-        self.workers.settle();
+        self.workers.update_indexes();
         let left = &self.dirty;
         let fresh = self.workers.unjournaled();
         let ends = fresh.map(|w| (w.id.clone(), w.born, w.journaled_without(left)));
@@ -120,7 +120,7 @@
         let mark = Mark(self.next_mark);
         self.next_mark += 1;
         self.in_flight = Some((mark, draft.done));
-        self.out.push(Output::Append(Batch {
+        self.outputs.push(Output::Append(Batch {
             mark,
             submissions: draft.submissions,
             records: draft.records,
@@ -158,7 +158,7 @@
 
     /// Ends of runs that no job knows change nothing; they need no journal.
     fn note_ends(&mut self) {
-        self.workers.settle();
+        self.workers.update_indexes();
         let fresh: Vec<WorkerId> = self.workers.unjournaled().map(|w| w.id.clone()).collect();
         for id in fresh {
             if let Some(worker) = self.workers.get_mut(&id) {
--- a/crates/cell/src/ends.rs
+++ b/crates/cell/src/ends.rs
@@ -205,8 +205,8 @@
         let state = &mut step.tasks[task.index as usize];
         state.failed_on = Some(id.clone());
         let fails = match gang {
-            true => &mut step.fails,
-            false => &mut state.fails,
+            true => &mut step.failed_runs,
+            false => &mut state.failed_runs,
         };
         if !lasting && !fails.contains(&run) {
             fails.push(run);
--- a/crates/cell/src/evacuation.rs
+++ b/crates/cell/src/evacuation.rs
@@ -78,7 +78,7 @@
             return;
         }
         self.last_evacuation = self.now;
-        self.workers.settle();
+        self.workers.update_indexes();
         let mut lasting = Vec::new();
         for worker in self.workers.evacuating() {
             let runs = worker.allocations.iter().filter(|(_, h)| h.lasting);
--- a/crates/cell/src/health.rs
+++ b/crates/cell/src/health.rs
@@ -67,7 +67,7 @@
 
     /// Whether the worker was paused and has not completed a run since; it then gets one task at
     /// a time.
-    pub(crate) fn is_on_trial(&self) -> bool {
+    pub(crate) fn is_recovering(&self) -> bool {
         self.pauses > 0
     }
 }
--- a/crates/cell/src/journal.rs
+++ b/crates/cell/src/journal.rs
@@ -204,13 +204,13 @@
     fn new(step: &StepRun, places: &mut Vec<PlaceRecord>) -> Self {
         let tasks = step.tasks.iter();
         Self {
-            fails: step.fails.clone(),
+            fails: step.failed_runs.clone(),
             tasks: tasks.map(|t| TaskRecord::new(t, places)).collect(),
         }
     }
 
     fn fill(self, step: &mut StepRun, places: &Places<'_>) {
-        step.fails = self.fails;
+        step.failed_runs = self.fails;
         for (task, record) in step.tasks.iter_mut().zip(self.tasks) {
             *task = record.task(places);
         }
@@ -223,7 +223,7 @@
         if task.done && task.attempts.is_empty() {
             return Self::Done;
         }
-        let blameless = task.fails.is_empty() && task.crashes.is_empty();
+        let blameless = task.failed_runs.is_empty() && task.crashes.is_empty();
         let bare = blameless && task.checkpoint.is_empty() && !task.abandoned;
         match (task.run, task.attempts.as_slice()) {
             (0, []) if bare => Self::Fresh,
@@ -257,7 +257,7 @@
         let attempts = task.attempts.iter();
         Self {
             run: task.run,
-            fails: task.fails.clone(),
+            fails: task.failed_runs.clone(),
             done: task.done,
             checkpoint: task.checkpoint.clone(),
             given_up: task.abandoned,
@@ -270,7 +270,7 @@
         let attempts = self.attempts.into_iter();
         Task {
             run: self.run,
-            fails: self.fails,
+            failed_runs: self.fails,
             done: self.done,
             started: self.run > 0,
             checkpoint: self.checkpoint,
--- a/crates/cell/src/loads.rs
+++ b/crates/cell/src/loads.rs
@@ -47,7 +47,7 @@
                     continue;
                 }
                 load.lasting += step.reserved() * u64::from(step.count);
-                load.spread = load.spread.max(spread(step));
+                load.spread = load.spread.max(min_workers(step));
                 let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
                 let free = self.startable(job, step, free, left);
                 load.waiting += step.reserved() * free;
@@ -152,7 +152,7 @@
 }
 
 /// Minimum number of workers over which a long-running step has to be spread.
-fn spread(step: &Step) -> usize {
+fn min_workers(step: &Step) -> usize {
     match step.spread {
         0 => 1,
         most => step.count.div_ceil(most) as usize,
--- a/crates/cell/src/looks.rs
+++ b/crates/cell/src/looks.rs
@@ -54,7 +54,7 @@
             true => SMALL_CELL_WAIT,
             false => POLL_WAIT,
         };
-        self.workers.settle();
+        self.workers.update_indexes();
         for id in self.workers.due_for_poll(now) {
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
@@ -92,7 +92,7 @@
             worker.requested_expiry = order.expiry;
             worker.poll_number += 1;
             worker.poll_state = PollState::InFlight(now);
-            self.out.push(Output::PollWorker {
+            self.outputs.push(Output::PollWorker {
                 worker: worker.id.clone(),
                 addr,
                 number: worker.poll_number,
@@ -143,7 +143,7 @@
         };
         worker.poll_state = PollState::Due(now.after(pause.min(MAX_POLL_DELAY)));
         match error {
-            LookError::Fence => self.out.push(Output::Deposed {
+            LookError::Fence => self.outputs.push(Output::Deposed {
                 task: None,
                 worker: id.clone(),
             }),
@@ -271,7 +271,7 @@
         let Some(addr) = worker.addr else {
             return;
         };
-        self.out.push(Output::Stop {
+        self.outputs.push(Output::Stop {
             worker: id.clone(),
             addr,
             order: StopOrder {
--- a/crates/cell/src/pacing.rs
+++ b/crates/cell/src/pacing.rs
@@ -100,7 +100,7 @@
                 continue;
             }
             attempt.pace = Some(percent);
-            self.out.push(Output::Pace {
+            self.outputs.push(Output::Pace {
                 worker: id.clone(),
                 addr,
                 order: PaceOrder {
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -150,7 +150,7 @@
     step.reserved().fits(w.free())
         && w.is_schedulable(now)
         && (constraints.suspect || !w.is_reserved(now))
-        && (!w.health.is_on_trial() || w.allocations.is_empty())
+        && (!w.health.is_recovering() || w.allocations.is_empty())
         && step.label.as_ref().is_none_or(labelled)
         && apart()
         && constraints.allowed.is_none_or(|a| a.contains(&w.id))
--- a/crates/cell/src/run_state.rs
+++ b/crates/cell/src/run_state.rs
@@ -21,7 +21,7 @@
     /// Number of tasks that are done.
     pub(crate) done: u32,
     /// Numbers of the gang's failed runs; empty unless the step is a gang.
-    pub(crate) fails: Vec<u32>,
+    pub(crate) failed_runs: Vec<u32>,
     /// Longest run time among the tasks that this owner saw complete.
     pub(crate) longest: Duration,
 }
@@ -33,7 +33,7 @@
     pub(crate) run: u32,
     /// Numbers of the failed runs. The numbers are kept because an end record may be listed again
     /// to a new owner.
-    pub(crate) fails: Vec<u32>,
+    pub(crate) failed_runs: Vec<u32>,
     pub(crate) done: bool,
     /// Whether any run of the task was seen to start.
     pub(crate) started: bool,
@@ -72,7 +72,7 @@
         Self {
             tasks: vec![Task::default(); step.count as usize],
             done: 0,
-            fails: Vec::new(),
+            failed_runs: Vec::new(),
             longest: Duration::ZERO,
         }
     }
--- a/crates/cell/src/schedule.rs
+++ b/crates/cell/src/schedule.rs
@@ -57,7 +57,7 @@
 impl Cell {
     /// Finds places for waiting tasks, best jobs first.
     pub(crate) fn schedule(&mut self) {
-        self.settle();
+        self.update_indexes();
         for service in self.wait_queue.services() {
             if self.workers.free_index(&service).is_some() {
                 self.fill(&service);
--- a/crates/cell/src/starts.rs
+++ b/crates/cell/src/starts.rs
@@ -59,7 +59,7 @@
             attempt.enter(Phase::Ordered, now);
             attempt.fence = fence;
         }
-        self.out.push(Output::Start {
+        self.outputs.push(Output::Start {
             worker,
             addr: entry.addr,
             order: StartOrder {
--- a/crates/cell/src/workers.rs
+++ b/crates/cell/src/workers.rs
@@ -32,7 +32,7 @@
 /// An event concerns one worker, and only the index entries of that worker are recomputed. The
 /// cost of an event therefore does not depend on the number of workers, be it fifty or thousands.
 ///
-/// Invariant: after [`Workers::settle`] the indexes agree with the state of every worker.
+/// Invariant: after [`Workers::update_indexes`] the indexes agree with the state of every worker.
 #[derive(Debug, Default)]
 pub(crate) struct Workers {
     all: Map<WorkerId, Worker>,
@@ -188,7 +188,7 @@
     }
 
     /// Recomputes the index entries of the workers that changed.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn update_indexes(&mut self) {
         for id in std::mem::take(&mut self.touched) {
             self.reindex(&id);
         }
