--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -14,13 +14,13 @@
 pub(crate) type Answer = Response<Full<Bytes>>;
 
 /// Least time after which a caller may come back, in seconds: the header has no smaller unit.
-const SOON_S: u64 = 1;
+const MIN_RETRY_AFTER_S: u64 = 1;
 
 /// Longest such time.
-const LATEST_S: u64 = 10;
+const MAX_RETRY_AFTER_S: u64 = 10;
 
 /// A JSON body with status 200.
-pub(crate) fn found(body: Vec<u8>) -> Answer {
+pub(crate) fn ok_json(body: Vec<u8>) -> Answer {
     let mut answer = Response::new(Full::new(Bytes::from(body)));
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(CONTENT_TYPE, json);
@@ -30,29 +30,29 @@
 /// A refusal or an error, with its code and what happened in particular.
 ///
 /// Callers that may come back are told to after `pause`, spread over a second more.
-pub(crate) fn refused(code: Code, detail: &str, pause: Duration) -> Answer {
+pub(crate) fn error_response(code: Code, detail: &str, delay: Duration) -> Answer {
     let body = json!({
         "code": code.number(),
         "ran": code.ran().to_string(),
         "error": code.text(),
         "detail": detail,
     });
-    let mut answer = found(body.to_string().into_bytes());
+    let mut answer = ok_json(body.to_string().into_bytes());
     let status = StatusCode::from_u16(code.status());
     *answer.status_mut() = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if matches!(code.status(), 429 | 503) {
         answer
             .headers_mut()
-            .insert(RETRY_AFTER, HeaderValue::from(retry_after(pause)));
+            .insert(RETRY_AFTER, HeaderValue::from(retry_after_seconds(delay)));
     }
     answer
 }
 
-fn retry_after(pause: Duration) -> u64 {
-    if pause.is_zero() {
-        return SOON_S;
+fn retry_after_seconds(delay: Duration) -> u64 {
+    if delay.is_zero() {
+        return MIN_RETRY_AFTER_S;
     }
     let spread = rand::rng().random_range(0.0..1.0);
-    let seconds = (pause.as_secs_f64() + spread).round() as u64;
-    seconds.clamp(SOON_S, LATEST_S)
+    let seconds = (delay.as_secs_f64() + spread).round() as u64;
+    seconds.clamp(MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S)
 }
--- a/crates/node/src/appending.rs
+++ b/crates/node/src/appending.rs
@@ -10,17 +10,17 @@
 use crate::shared::Shared;
 
 /// Longest time for one answer. Whoever waits for it has given up long before.
-const TIMEOUT: Duration = Duration::from_millis(3_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Tries under way at a time.
 const MAX_IN_FLIGHT: usize = 3;
 
 /// Pause before an append is tried again that was turned away.
-const RETRY: Duration = Duration::from_millis(25);
+const RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// Times that an append which was surely not done is tried. The store turns calls away when
 /// all nodes together are over its rate, for a moment.
-const TRIES: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 
 /// Appends records under a producer's sequence number until it is certain what became of them.
 ///
@@ -35,7 +35,7 @@
 /// [`AppendError::Unknown`].
 pub(crate) async fn append(
     shared: &Shared,
-    what: &'static str,
+    topic: &'static str,
     to: Partition,
     producer: &Producer,
     records: &[Keyed],
@@ -45,24 +45,24 @@
         let sent = shared.clock.now();
         let store = &shared.store;
         let done = store
-            .append(to, Some(producer), None, records, TIMEOUT)
+            .append(to, Some(producer), None, records, ANSWER_TIMEOUT)
             .await;
         (shared.clock.now().since(sent), done)
     };
-    let mut flying = FuturesUnordered::new();
+    let mut in_flight = FuturesUnordered::new();
     let mut refused = 0;
     // A try may be carried out that nobody waits for any more.
-    let mut doubt = false;
+    let mut uncertain = false;
     loop {
-        if flying.is_empty() {
-            flying.push(attempt());
+        if in_flight.is_empty() {
+            in_flight.push(attempt());
         }
-        let Ok(next) = timeout(shared.rtt.limit(), flying.next()).await else {
-            shared.metrics.append_failed(what);
-            shared.rtt.overdue();
-            if flying.len() < MAX_IN_FLIGHT {
+        let Ok(next) = timeout(shared.append_rtt.limit(), in_flight.next()).await else {
+            shared.metrics.append_failed(topic);
+            shared.append_rtt.overdue();
+            if in_flight.len() < MAX_IN_FLIGHT {
                 shared.store.suspect();
-                flying.push(attempt());
+                in_flight.push(attempt());
             }
             continue;
         };
@@ -71,25 +71,25 @@
         };
         match outcome {
             Ok(done) => {
-                shared.rtt.answered(took);
+                shared.append_rtt.answered(took);
                 return Ok(done);
             }
             Err(AppendError::Refused(status)) => {
                 refused += 1;
-                let last = flying.is_empty();
-                if last && !doubt && refused >= TRIES {
+                let last = in_flight.is_empty();
+                if last && !uncertain && refused >= MAX_REFUSALS {
                     return Err(AppendError::Refused(status));
                 }
             }
             Err(AppendError::Unknown(_)) => {
-                doubt = true;
+                uncertain = true;
                 in_doubt();
             }
             Err(certain) => return Err(certain),
         }
-        shared.metrics.append_failed(what);
-        if flying.is_empty() {
-            sleep(RETRY).await;
+        shared.metrics.append_failed(topic);
+        if in_flight.is_empty() {
+            sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -5,10 +5,10 @@
 use cactuswheel_model::Time;
 
 /// First pause.
-const FIRST: Duration = Duration::from_millis(250);
+const INITIAL_DELAY: Duration = Duration::from_millis(250);
 
 /// Doublings of the pause at the most.
-const MAX_DOUBLED: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Pauses after calls that are turned away, each longer than the one before.
 ///
@@ -27,18 +27,18 @@
         if now < self.until {
             return;
         }
-        let pause = FIRST * (1 << self.refused.min(MAX_DOUBLED));
+        let pause = INITIAL_DELAY * (1 << self.refused.min(MAX_DOUBLINGS));
         self.until = now.after(pause.mul_f64(0.75 + spread / 2.0));
         self.refused += 1;
     }
 
     /// A call was taken.
-    pub fn taken(&mut self) {
+    pub fn accepted(&mut self) {
         self.refused = 0;
     }
 
     /// Whether calls may go out.
-    pub fn is_over(&self, now: Time) -> bool {
+    pub fn is_elapsed(&self, now: Time) -> bool {
         now >= self.until
     }
 }
--- a/crates/node/src/config_follower.rs
+++ b/crates/node/src/config_follower.rs
@@ -21,31 +21,31 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Pause after a read that failed.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Follows the operators' records until the task is dropped.
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let mut lost = false;
     loop {
-        let failed = match start(&shared).await {
-            Ok(end) => tail(&shared, end, &mut lost).await,
+        let failure = match read_newest(&shared).await {
+            Ok(end) => follow_from(&shared, end, &mut lost).await,
             Err(e) => e,
         };
-        if matches!(failed, ReadError::Deleted) {
+        if matches!(failure, ReadError::Deleted) {
             log::info!("operators' records were deleted: reading the newest again");
             continue;
         }
         shared.store_failed();
         if !lost {
             lost = true;
-            log::warn!(error:% = failed, age_ms = shared.config_age(); "configuration lost");
+            log::warn!(error:% = failure, age_ms = shared.config_age(); "configuration lost");
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// Reads the newest records; gives the offset to go on from.
-async fn start(shared: &Shared) -> Result<u64, ReadError> {
+async fn read_newest(shared: &Shared) -> Result<u64, ReadError> {
     let mut items: Vec<Item> = Vec::new();
     let mut end = None;
     let limit = READ_TIMEOUT + page_time(shared.settings.link);
@@ -61,8 +61,8 @@
         shared.store_answered();
         items.extend(page.items);
         if !page.more {
-            take_newest(shared, items);
-            shared.confirm(sent);
+            apply_newest(shared, items);
+            shared.confirm_config(sent);
             return Ok(from);
         }
     }
@@ -72,15 +72,15 @@
 ///
 /// An evacuation that is over is not among them, so the set is replaced; and it is in force before
 /// the first configuration lets a takeover begin.
-fn take_newest(shared: &Shared, items: Vec<Item>) {
+fn apply_newest(shared: &Shared, items: Vec<Item>) {
     let zones = items.iter().filter_map(|i| evacuated_zone(&i.key));
-    evacuate(shared, zones.collect());
+    set_evacuated(shared, zones.collect());
     for Item { key, value, .. } in items {
-        take(shared, &Keyed::new(key, value));
+        apply(shared, &Keyed::new(key, value));
     }
 }
 
-async fn tail(shared: &Shared, mut next: u64, lost: &mut bool) -> ReadError {
+async fn follow_from(shared: &Shared, mut next: u64, lost: &mut bool) -> ReadError {
     loop {
         let sent = shared.clock.now();
         let page = shared
@@ -95,12 +95,12 @@
         next += page.records.len() as u64;
         for record in &page.records {
             match Keyed::read(record) {
-                Some(record) => take(shared, &record),
+                Some(record) => apply(shared, &record),
                 None => log::warn!(offset = page.from; "operators' record without a key"),
             }
         }
         if next >= page.end {
-            shared.confirm(sent);
+            shared.confirm_config(sent);
         }
         if std::mem::take(lost) {
             log::info!("configuration regained");
@@ -108,27 +108,27 @@
     }
 }
 
-fn take(shared: &Shared, record: &Keyed) {
+fn apply(shared: &Shared, record: &Keyed) {
     if let Some(zone) = evacuated_zone(&record.key) {
         let mut zones = (**shared.evacuated.load()).clone();
         match record.value {
             Some(_) => zones.insert(zone),
             None => zones.remove(&zone),
         };
-        return evacuate(shared, zones);
+        return set_evacuated(shared, zones);
     }
     let Some(value) = &record.value else {
         return;
     };
     if record.key == CONFIG_KEY {
-        take_config(shared, value);
+        apply_config(shared, value);
     } else if record.key.starts_with(WAVE_PREFIX) {
-        take_wave(shared, value);
+        apply_wave(shared, value);
     }
 }
 
 /// Versions only rise in a process's life: an old record that comes late changes nothing.
-fn take_config(shared: &Shared, value: &[u8]) {
+fn apply_config(shared: &Shared, value: &[u8]) {
     let config = match read_config(value) {
         Ok(config) => config,
         Err(e) => {
@@ -149,7 +149,7 @@
 }
 
 /// Replaces the data centres that are evacuated.
-fn evacuate(shared: &Shared, zones: Set<ZoneName>) {
+fn set_evacuated(shared: &Shared, zones: Set<ZoneName>) {
     let known = shared.evacuated.load();
     if **known == zones {
         return;
@@ -158,7 +158,7 @@
     shared.evacuated.store(Arc::new(zones));
 }
 
-fn take_wave(shared: &Shared, value: &[u8]) {
+fn apply_wave(shared: &Shared, value: &[u8]) {
     let wave = match read_wave(value) {
         Ok(wave) => wave,
         Err(e) => {
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -22,7 +22,7 @@
 use crate::link_load::LinkLoad;
 use crate::order_sender::{LOOK_TIMEOUT, ORDER_TIMEOUT, OrderSender, OrderSink};
 use crate::owner_stats::OwnerStats;
-use crate::peer_traffic::link_bytes;
+use crate::peer_traffic::total_traffic;
 use crate::relay_client::RelayClient;
 use crate::relay_request::{Envelope, Order, Report, Reports};
 use crate::shared::Shared;
@@ -67,7 +67,7 @@
     }
 
     fn leads(&self) -> bool {
-        self.shared.leads()
+        self.shared.holds_ownership()
     }
 }
 
@@ -121,8 +121,8 @@
             listed: false,
             checked: shared.clock.now(),
             stats: OwnerStats::new(shared.clock.now()),
-            outward: LinkLoad::new(shared.clock.now(), link_bytes().0, LOADED_SHARE),
-            inward: LinkLoad::new(shared.clock.now(), link_bytes().1, FULL_SHARE),
+            outward: LinkLoad::new(shared.clock.now(), total_traffic().0, LOADED_SHARE),
+            inward: LinkLoad::new(shared.clock.now(), total_traffic().1, FULL_SHARE),
             named: false,
             shared,
             events,
@@ -167,11 +167,11 @@
     /// Sends what was collected for relays since the last call.
     pub(crate) fn flush(&mut self, origins: &mut SpecOrigins) {
         let now = self.shared.clock.now();
-        let (sent, _) = link_bytes();
+        let (sent, _) = total_traffic();
         let link = self.shared.settings.link;
         self.named = self.outward.is_high(now, sent, link);
         let named = self.named;
-        let age = self.shared.lead_age();
+        let age = self.shared.ownership_age();
         for (node, client) in &mut self.clients {
             if client.is_empty() {
                 continue;
@@ -197,7 +197,7 @@
 
     /// Whether so much comes in that answers may be late for that alone.
     pub(crate) fn is_link_full(&mut self) -> bool {
-        let (_, received) = link_bytes();
+        let (_, received) = total_traffic();
         let now = self.shared.clock.now();
         self.inward
             .is_high(now, received, self.shared.settings.link)
@@ -261,9 +261,9 @@
         let lost = self.relays.overdue(now);
         let relays = &self.relays;
         self.clients.retain(|node, _| relays.addr(node).is_some());
-        self.shared.metrics.relays(relays.count());
+        self.shared.metrics.set_relays(relays.count());
         if let Some(percent) = self.stats.tell(now, self.relays.count()) {
-            self.shared.metrics.busy(percent);
+            self.shared.metrics.set_busy(percent);
         }
         lost.into_iter().map(unknown).collect()
     }
@@ -332,7 +332,7 @@
                 sleep(ADVICE_PAUSE).await;
             }
             let good = answer.ok().map(|a| a.good);
-            let _ = events.send(Event::Advised(step, good)).await;
+            let _ = events.send(Event::PolicyAnswer(step, good)).await;
         });
     }
 
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -17,10 +17,10 @@
 use tokio::time::{sleep, timeout};
 
 use crate::claim::{Claim, Claims};
-use crate::expiry::{EXPIRY, expiry_for, page_time};
+use crate::expiry::{MIN_EXPIRY, expiry_for, page_time};
 use crate::owner_clock::OwnerClock;
 use crate::ownership::Ownership;
-use crate::peer::OwnerAt;
+use crate::peer::OwnerAddress;
 use crate::role::Role;
 use crate::shared::Shared;
 use crate::topics::OWNER;
@@ -135,7 +135,7 @@
     /// it up if this node cannot hold it.
     async fn hold(&mut self) {
         let anew = self.shared.reclaim.swap(false, Ordering::AcqRel);
-        match anew && self.shared.declines() {
+        match anew && self.shared.claims_paused() {
             true => self.give_up().await,
             false => self.write(anew).await,
         }
@@ -197,9 +197,9 @@
         let expiry = self
             .last
             .as_ref()
-            .map_or(EXPIRY, |o| Duration::from_millis(o.expiry));
+            .map_or(MIN_EXPIRY, |o| Duration::from_millis(o.expiry));
         let left = expiry.saturating_sub(now.since(self.owner_clock.at()));
-        if self.shared.declines() {
+        if self.shared.claims_paused() {
             self.read(WATCHED).await;
             return;
         }
@@ -210,7 +210,7 @@
             return;
         }
         // Others claim it before this node does; whoever misses the owner asks sooner.
-        let _ = timeout(WEAKER_PAUSE, self.shared.missed.notified()).await;
+        let _ = timeout(WEAKER_PAUSE, self.shared.owner_unreachable.notified()).await;
         self.read(Duration::ZERO).await;
     }
 
@@ -255,7 +255,7 @@
         let weaker = |o: &Ownership| o.strength * STRONGER <= strength;
         self.last.as_ref().is_some_and(weaker)
             && now.since(self.since) >= WATCHED
-            && self.shared.is_fresh()
+            && self.shared.is_config_fresh()
     }
 
     async fn claim(&mut self) {
@@ -282,7 +282,7 @@
         let epoch = self.last.as_ref().map_or(0, |o| o.epoch) + u64::from(claim);
         let now = self.shared.clock.now();
         let renewal = if claim { Duration::ZERO } else { self.took };
-        let expiry = expiry_for(self.shared.least_expiry, renewal);
+        let expiry = expiry_for(self.shared.min_expiry, renewal);
         if claim {
             // Who gives the ownership up has stopped renewing leases before.
             let alone = self.last.as_ref().is_none_or(|o| o.released && o.settled);
@@ -314,13 +314,13 @@
         let store = &self.shared.store;
         let sent = self.shared.clock.now();
         self.sent = sent;
-        let limit = self.shared.rtt.limit().clamp(MIN_TIMEOUT, TIMEOUT);
+        let limit = self.shared.append_rtt.limit().clamp(MIN_TIMEOUT, TIMEOUT);
         let limit = limit + page_time(settings.link);
         let done = store.append(OWNER, None, Some(self.end), &records, limit);
         match done.await {
             Ok(done) => {
                 self.shared.set_expiry(expiry);
-                self.shared.confirm_lead(sent);
+                self.shared.confirm_ownership(sent);
                 self.took = self.shared.clock.now().since(sent);
                 self.end = done.end;
                 self.accept(record);
@@ -385,7 +385,7 @@
             self.since = self.shared.clock.now();
             log::info!(owner:% = record.node, epoch = record.epoch; "owner known");
         }
-        let at = OwnerAt {
+        let at = OwnerAddress {
             node: record.node.clone(),
             addr: record.addr,
             epoch: record.epoch,
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-use crate::intake_follower::Intaken;
+use crate::intake_follower::IntakePage;
 use crate::peer::{HandInAnswer, JobAnswer, QueueAnswer};
 use crate::relay_request::{Report, Reports};
 
@@ -21,21 +21,21 @@
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A front hands a job in.
-    HandIn(Handed),
+    HandIn(HandInRequest),
     /// Records of the intake.
-    Intake(Intaken),
+    Intake(IntakePage),
     /// A read of a partition of the intake for the sake of a question is over.
-    IntakeRead(u32),
+    IntakeReadDone(u32),
     /// A worker's entry.
-    Worker(WorkerEntry),
+    WorkerUpdated(WorkerEntry),
     /// A worker is listed no more.
-    NoWorker(WorkerId),
+    WorkerRemoved(WorkerId),
     /// Every worker's entry was told.
-    Listed,
+    RosterComplete,
     /// What became of an order to a worker.
     Report(Report),
     /// What a relay reports.
-    Relayed(Reports, oneshot::Sender<bool>),
+    RelayReports(Reports, oneshot::Sender<bool>),
     /// A node offers to relay orders.
     Offer(Offer, oneshot::Sender<Reply>),
     /// A relay takes no orders any more, and why.
@@ -47,16 +47,16 @@
     /// The platform's list of instances, and when the request for it was sent.
     Instances(Vec<Instance>, Time),
     /// What became of an order to an instance, with the worker on it.
-    Ordered(InstanceOrder, Option<WorkerId>, InstanceOutcome),
+    InstanceOrdered(InstanceOrder, Option<WorkerId>, InstanceOutcome),
     /// The policy service's answer.
-    Advised(StepId, Option<Vec<(WorkerId, String)>>),
+    PolicyAnswer(StepId, Option<Vec<(WorkerId, String)>>),
     /// Somebody asks for something.
-    Ask(Ask),
+    Query(Query),
 }
 
 /// A job that a front hands in.
 #[derive(Debug)]
-pub(crate) struct Handed {
+pub(crate) struct HandInRequest {
     /// Its submission.
     pub(crate) record: Bytes,
     /// The front, which keeps what the job runs.
@@ -68,15 +68,15 @@
 
 /// What is asked of the owner.
 #[derive(Debug)]
-pub(crate) enum Ask {
+pub(crate) enum Query {
     /// Somebody asks for a job.
     Job(JobId, oneshot::Sender<JobAnswer>),
     /// A front asks for a job before it refuses it.
     Standing(JobId, ServiceName, oneshot::Sender<(Standing, Waits)>),
     /// An operator asks for the cell.
-    View(oneshot::Sender<Value>),
+    CellView(oneshot::Sender<Value>),
     /// An operator asks for a job.
-    Story(JobId, oneshot::Sender<Option<Value>>),
+    JobView(JobId, oneshot::Sender<Option<Value>>),
     /// Somebody asks for a queue.
     Queue(QueueName, oneshot::Sender<QueueAnswer>),
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -106,7 +106,7 @@
         let service = Arc::new(Instances::new(addr));
         tokio::spawn(list(shared.clone(), service.clone(), events.clone()));
         let times = Times {
-            maintaining: shared.settings.times.maintaining,
+            maintaining: shared.settings.times.maintenance,
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
@@ -156,7 +156,7 @@
                 let spread = rand::rng().random_range(0.0..1.0);
                 self.backoff.refused(self.shared.clock.now(), spread);
             }
-            _ => self.backoff.taken(),
+            _ => self.backoff.accepted(),
         }
         self.planner
             .ordered(self.shared.clock.now(), name(order), outcome);
@@ -178,7 +178,7 @@
         }
         self.planned = now;
         // Another node may own the cell by then.
-        if !self.shared.leads() || now < self.barred || !self.backoff.is_over(now) {
+        if !self.shared.holds_ownership() || now < self.barred || !self.backoff.is_elapsed(now) {
             return;
         }
         let waves = self.shared.waves.load_full().unwrap_or_default();
@@ -292,7 +292,7 @@
                     order:? = given.order, token = given.token.fence, outcome:? = outcome;
                     "instance ordered"
                 );
-                let event = Event::Ordered(given.order, given.worker, outcome);
+                let event = Event::InstanceOrdered(given.order, given.worker, outcome);
                 let _ = events.send(event).await;
             });
         }
@@ -314,7 +314,7 @@
     given: &Issued,
     recorded: bool,
 ) -> InstanceOutcome {
-    let owner = !events.is_closed() && shared.leads();
+    let owner = !events.is_closed() && shared.holds_ownership();
     match recorded && owner {
         true => service.order(&given.order, &given.token, TIMEOUT).await,
         false => InstanceOutcome::Refused(NOT_RECORDED),
@@ -333,7 +333,7 @@
                     log::info!("list of instances regained");
                 }
                 let size = instances.len() * LISTED;
-                let least = shared.settings.link.time_of(size).div_f64(LIST_SHARE);
+                let least = shared.settings.link.transfer_time(size).div_f64(LIST_SHARE);
                 let least = least.max(Duration::from_secs_f64(size as f64 / LIST_RATE));
                 let same = quiet.as_ref() == Some(&instances);
                 quiet = Some(instances.clone());
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -22,7 +22,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::answer::{Answer, found, refused};
+use crate::answer::{Answer, error_response, ok_json};
 use crate::ask;
 use crate::intake::{Intake, NotStored};
 use crate::peer::JobAnswer;
@@ -33,20 +33,20 @@
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Time in which a caller has to send the head of a request.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Part of a caller's time that is left for the way of the answer.
-const WAY_BACK: Duration = Duration::from_millis(150);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
 /// Longest wait for an owner of the cell. A takeover takes about two seconds; a caller that
 /// would wait longer asks again in its own time.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Time that a caller has if it names none.
-const DEFAULT_TIME: Duration = Duration::from_secs(3);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time without a request after which a stopping node closes a caller's connection.
-const QUIET: Duration = Duration::from_millis(2_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Largest record of the store, in bytes.
 const MAX_RECORD: usize = 256 << 10;
@@ -56,7 +56,7 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) intake: Intake,
     /// Requests that have no answer yet.
-    pub(crate) busy: AtomicUsize,
+    pub(crate) in_flight: AtomicUsize,
 }
 
 /// A refusal of one request.
@@ -64,7 +64,7 @@
     code: Code,
     detail: String,
     /// When to come back.
-    pause: Duration,
+    retry_after: Duration,
 }
 
 /// What a request is about.
@@ -72,7 +72,7 @@
     queue: &'a Queue,
     team: Option<TeamName>,
     /// Time that the caller waits.
-    time: Duration,
+    max_wait: Duration,
 }
 
 impl Refusal {
@@ -80,12 +80,15 @@
         Self {
             code,
             detail: detail.into(),
-            pause: Duration::ZERO,
+            retry_after: Duration::ZERO,
         }
     }
 
-    fn with_pause(self, pause: Duration) -> Self {
-        Self { pause, ..self }
+    fn with_retry_after(self, retry_after: Duration) -> Self {
+        Self {
+            retry_after,
+            ..self
+        }
     }
 }
 
@@ -108,21 +111,21 @@
         };
         // Small answers would otherwise wait for the caller's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
-        open.spawn(converse(stream, front.clone(), stop.clone()));
+        open.spawn(serve_caller(stream, front.clone(), stop.clone()));
     }
 }
 
-async fn converse(stream: TcpStream, front: Arc<Front>, stop: CancellationToken) {
+async fn serve_caller(stream: TcpStream, front: Arc<Front>, stop: CancellationToken) {
     let count = Arc::new(AtomicUsize::new(0));
     let counter = count.clone();
     let service = service_fn(move |request| {
         let front = front.clone();
         counter.fetch_add(1, Ordering::Relaxed);
-        async move { Ok::<_, Infallible>(front.answer(request).await) }
+        async move { Ok::<_, Infallible>(front.handle(request).await) }
     });
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_TIMEOUT)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(conn);
     tokio::select! {
@@ -137,7 +140,7 @@
         let before = count.load(Ordering::Relaxed);
         tokio::select! {
             _ = conn.as_mut() => return,
-            () = sleep(QUIET) => {}
+            () = sleep(IDLE_TIMEOUT) => {}
         }
         if count.load(Ordering::Relaxed) == before {
             conn.as_mut().graceful_shutdown();
@@ -146,17 +149,17 @@
 }
 
 impl Front {
-    async fn answer(&self, request: Request<Incoming>) -> Answer {
+    async fn handle(&self, request: Request<Incoming>) -> Answer {
         let start = self.shared.clock.now();
-        self.busy.fetch_add(1, Ordering::AcqRel);
-        let mut answer = match self.respond(request).await {
+        self.in_flight.fetch_add(1, Ordering::AcqRel);
+        let mut answer = match self.route(request).await {
             Ok(answer) => answer,
             Err(refusal) => {
                 self.shared.metrics.refused(refusal.code);
-                refused(refusal.code, &refusal.detail, refusal.pause)
+                error_response(refusal.code, &refusal.detail, refusal.retry_after)
             }
         };
-        self.busy.fetch_sub(1, Ordering::AcqRel);
+        self.in_flight.fetch_sub(1, Ordering::AcqRel);
         // A caller that comes back on the same connection would come back to this node.
         if !self.shared.is_ready() {
             let close = HeaderValue::from_static("close");
@@ -167,12 +170,12 @@
         answer
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Result<Answer, Refusal> {
+    async fn route(&self, request: Request<Incoming>) -> Result<Answer, Refusal> {
         let Some(config) = self.shared.config.load_full() else {
             return Err(Refusal::new(Code::NotReady, "no configuration yet"));
         };
         let path = request.uri().path().to_owned();
-        let host = host(&request);
+        let host = host_name(&request);
         let Some(queue) = config.queue_at(&host, &path) else {
             self.check_fresh("")?;
             return Err(Refusal::new(Code::NoQueue, path));
@@ -180,8 +183,8 @@
         let rest = path[queue.prefix.len()..].to_owned();
         let target = Target {
             queue,
-            team: self.team(&config, queue, &request, &rest)?,
-            time: time(&request).min(queue.timeout.duration()),
+            team: self.authenticate(&config, queue, &request, &rest)?,
+            max_wait: requested_timeout(&request).min(queue.timeout.duration()),
         };
         if rest.is_empty() {
             return self.pending(&request, &target).await;
@@ -198,7 +201,7 @@
     }
 
     /// The team whose key came with a request; `None` on a queue that takes no key.
-    fn team(
+    fn authenticate(
         &self,
         config: &FleetConfig,
         queue: &Queue,
@@ -230,7 +233,7 @@
     /// Without a confirmation for most of the bound it accepts none, and says that it is not
     /// ready.
     fn check_fresh(&self, job: &str) -> Result<(), Refusal> {
-        if self.shared.is_fresh() {
+        if self.shared.is_config_fresh() {
             return Ok(());
         }
         let age = self.shared.config_age();
@@ -249,7 +252,7 @@
         id: JobId,
     ) -> Result<Answer, Refusal> {
         let start = self.shared.clock.now();
-        let body = read_body(request, config.limits.body, target.time).await?;
+        let body = read_body(request, config.limits.body, target.max_wait).await?;
         let job = read_job(&body).map_err(|e| Refusal::new(Code::BadJob, e.to_string()))?;
         let sub = Submission {
             job: id,
@@ -273,9 +276,9 @@
             self.check_fresh(&id.to_string())?;
         }
         let spent = self.shared.clock.now().since(start);
-        let left = target.time.saturating_sub(spent + WAY_BACK);
+        let left = target.max_wait.saturating_sub(spent + RESPONSE_MARGIN);
         match self.intake.accept(&self.shared, &sub, record, left).await {
-            Ok(()) => Ok(found(Vec::new())),
+            Ok(()) => Ok(ok_json(Vec::new())),
             Err(e) => Err(self.not_stored(id, "submit", e)),
         }
     }
@@ -287,11 +290,11 @@
             NotStored::Refused => Refusal::new(Code::StoreAway, ""),
             NotStored::NoOwner(excess) => {
                 let detail = format!("nobody takes jobs, {} ms too long", excess.as_millis());
-                Refusal::new(Code::NoScheduler, detail).with_pause(excess)
+                Refusal::new(Code::NoScheduler, detail).with_retry_after(excess)
             }
             NotStored::Overloaded(excess) => {
                 let detail = format!("it would begin {} ms too late", excess.as_millis());
-                Refusal::new(Code::QueueFull, detail).with_pause(excess)
+                Refusal::new(Code::QueueFull, detail).with_retry_after(excess)
             }
             NotStored::Doubt => Refusal::new(Code::StoreDoubt, ""),
         }
@@ -300,7 +303,7 @@
     async fn state(&self, target: &Target<'_>, id: JobId) -> Result<Answer, Refusal> {
         match ask::job(&self.shared, id, owner_timeout(target)).await {
             Some(JobAnswer::Known { state, team }) if may_see(target, team.as_ref()) => {
-                Ok(found(state_body(state)))
+                Ok(ok_json(state_body(state)))
             }
             Some(JobAnswer::Known { .. } | JobAnswer::Unknown) => {
                 log::info!(job:% = id, queue:% = target.queue.name; "no such job");
@@ -320,7 +323,7 @@
             Some(JobAnswer::NotOwner) | None => return Err(self.no_owner(&id.to_string())),
         }
         let spent = self.shared.clock.now().since(start);
-        let left = target.time.saturating_sub(spent + WAY_BACK);
+        let left = target.max_wait.saturating_sub(spent + RESPONSE_MARGIN);
         // A record without a value would drop its key.
         let record = vec![1];
         match self
@@ -328,7 +331,7 @@
             .store(IntakeKey::Cancelled(id), record, left)
             .await
         {
-            Ok(()) => Ok(found(Vec::new())),
+            Ok(()) => Ok(ok_json(Vec::new())),
             Err(e) => Err(self.not_stored(id, "cancel", e)),
         }
     }
@@ -342,7 +345,7 @@
             return Err(Refusal::new(Code::BadRequest, "a job id is missing"));
         }
         match ask::pending(&self.shared, &target.queue.name, owner_timeout(target)).await {
-            Some(pending) => Ok(found(pending_body(pending))),
+            Some(pending) => Ok(ok_json(pending_body(pending))),
             None => Err(self.no_owner(target.queue.name.as_str())),
         }
     }
@@ -361,20 +364,20 @@
 }
 
 fn owner_timeout(target: &Target<'_>) -> Duration {
-    OWNER_TIMEOUT.min(target.time.saturating_sub(WAY_BACK))
+    OWNER_TIMEOUT.min(target.max_wait.saturating_sub(RESPONSE_MARGIN))
 }
 
-fn host(request: &Request<Incoming>) -> String {
+fn host_name(request: &Request<Incoming>) -> String {
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or_else(|| request.uri().host()).unwrap_or_default();
     let name = host.split(':').next().unwrap_or_default();
     name.to_ascii_lowercase()
 }
 
-fn time(request: &Request<Incoming>) -> Duration {
+fn requested_timeout(request: &Request<Incoming>) -> Duration {
     let header = request.headers().get(DEADLINE_HEADER);
     let ms = header.and_then(|h| h.to_str().ok()?.parse().ok());
-    ms.map_or(DEFAULT_TIME, Duration::from_millis)
+    ms.map_or(DEFAULT_TIMEOUT, Duration::from_millis)
 }
 
 async fn read_body(
--- a/crates/node/src/hand_ins.rs
+++ b/crates/node/src/hand_ins.rs
@@ -9,8 +9,8 @@
 use cactuswheel_work::{JobId, Submission};
 use tokio::sync::oneshot;
 
-use crate::event::Handed;
-use crate::intake::stuck_after;
+use crate::event::HandInRequest;
+use crate::intake::stuck_timeout;
 use crate::peer::HandInAnswer;
 use crate::shared::Shared;
 
@@ -21,7 +21,7 @@
 pub(crate) struct HandIns {
     shared: Arc<Shared>,
     /// The cell knows nothing of these: they can be refused.
-    waiting: Vec<(Submission, Handed)>,
+    waiting: Vec<(Submission, HandInRequest)>,
     /// Whom to tell when the journal holds a job.
     replies: Map<JobId, Vec<oneshot::Sender<HandInAnswer>>>,
     /// Which fronts have accepted jobs of late.
@@ -39,21 +39,21 @@
     }
 
     /// Takes a job, unless it surely cannot begin in time.
-    pub(crate) fn take(&mut self, cell: &Cell, handed: Handed) {
+    pub(crate) fn take(&mut self, cell: &Cell, request: HandInRequest) {
         if self.waiting.len() >= MAX_WAITING {
-            return answer(handed.reply, HandInAnswer::Refused);
+            return answer(request.reply, HandInAnswer::Refused);
         }
-        let sub = match decode::<Submission>(&handed.record) {
+        let sub = match decode::<Submission>(&request.record) {
             Ok(sub) => sub,
             Err(e) => {
                 log::error!(error:% = e; "submission cannot be read");
-                return answer(handed.reply, HandInAnswer::Refused);
+                return answer(request.reply, HandInAnswer::Refused);
             }
         };
         if let Some(waits) = cell.refuses(&sub) {
-            return answer(handed.reply, HandInAnswer::Overloaded(waits));
+            return answer(request.reply, HandInAnswer::Overloaded(waits));
         }
-        self.waiting.push((sub, handed));
+        self.waiting.push((sub, request));
     }
 
     /// Hands the cell what waits, unless a batch is under way.
@@ -68,17 +68,17 @@
         if let Some(writing) = cell.writing(now) {
             return self.refuse_overdue(now, writing);
         }
-        for (sub, handed) in std::mem::take(&mut self.waiting) {
-            self.hand_one_in(cell, sub, handed);
+        for (sub, request) in std::mem::take(&mut self.waiting) {
+            self.hand_in_one(cell, sub, request);
         }
     }
 
     fn refuse_overdue(&mut self, now: Time, writing: Duration) {
-        let stuck = writing > stuck_after(&self.shared);
-        let over = |(_, h): &mut (Submission, Handed)| stuck || h.until <= now;
+        let stuck = writing > stuck_timeout(&self.shared);
+        let expired = |(_, h): &mut (Submission, HandInRequest)| stuck || h.until <= now;
         let mut refused = 0;
-        for (_, handed) in self.waiting.extract_if(.., over) {
-            answer(handed.reply, HandInAnswer::Refused);
+        for (_, request) in self.waiting.extract_if(.., expired) {
+            answer(request.reply, HandInAnswer::Refused);
             refused += 1;
         }
         if refused > 0 {
@@ -87,17 +87,17 @@
         }
     }
 
-    fn hand_one_in(&mut self, cell: &mut Cell, sub: Submission, handed: Handed) {
+    fn hand_in_one(&mut self, cell: &mut Cell, sub: Submission, request: HandInRequest) {
         let now = self.shared.clock.now();
-        if handed.until <= now {
-            return answer(handed.reply, HandInAnswer::Refused);
+        if request.until <= now {
+            return answer(request.reply, HandInAnswer::Refused);
         }
         let id = sub.job;
-        self.origins.insert(now, id, handed.origin);
-        match cell.hand_in(now, sub.clone(), handed.record.to_vec()) {
-            HandIn::Accepted => answer(handed.reply, HandInAnswer::Accepted),
-            HandIn::Journaling => self.replies.entry(id).or_default().push(handed.reply),
-            HandIn::Busy => self.waiting.push((sub, handed)),
+        self.origins.insert(now, id, request.origin);
+        match cell.hand_in(now, sub.clone(), request.record.to_vec()) {
+            HandIn::Accepted => answer(request.reply, HandInAnswer::Accepted),
+            HandIn::Journaling => self.replies.entry(id).or_default().push(request.reply),
+            HandIn::Busy => self.waiting.push((sub, request)),
         }
     }
 
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -14,39 +14,39 @@
 
 use crate::appending::append;
 use crate::ask;
-use crate::overload::silence_excess;
+use crate::overload::outage_excess;
 use crate::peer::HandInAnswer;
 use crate::shared::Shared;
-use crate::topics::{IntakeKey, intake, part_of};
+use crate::topics::{IntakeKey, intake, intake_part};
 
 /// Records that may wait. A front takes some dozens a second; more only pile up while the store
 /// is away, and are refused then.
-const QUEUE: usize = 1_024;
+const MAX_QUEUED: usize = 1_024;
 
 /// Largest append, in bytes.
-const MAX_APPEND: usize = 512 << 10;
+const MAX_APPEND_BYTES: usize = 512 << 10;
 
 /// Longest time without an answer after which an append is in doubt: a store that is slow by a
 /// factor of a hundred answers before.
-const DOUBT_AFTER: Duration = Duration::from_millis(1_100);
+const MAX_DOUBT_TIMEOUT: Duration = Duration::from_millis(1_100);
 
 /// Times the usual limit for an answer after which an append is in doubt all the same.
 ///
 /// Failure: the store is away, and what comes in waits a second to hear that. Of a store that
 /// answers in milliseconds three limits without an answer say enough.
-const DOUBT_LIMITS: u32 = 3;
+const DOUBT_RTT_FACTOR: u32 = 3;
 
 /// Time for which an append may be in doubt before what comes after it is refused.
-const DOUBT_LIMIT: Duration = Duration::from_millis(250);
+const MAX_DOUBT: Duration = Duration::from_millis(250);
 
 /// Time for which an append may be under way before what waits behind it is refused.
-pub(crate) fn stuck_after(shared: &Shared) -> Duration {
-    doubt_after(shared) + DOUBT_LIMIT
+pub(crate) fn stuck_timeout(shared: &Shared) -> Duration {
+    doubt_timeout(shared) + MAX_DOUBT
 }
 
 /// Time without an answer after which an append is in doubt.
-fn doubt_after(shared: &Shared) -> Duration {
-    DOUBT_AFTER.min(shared.rtt.limit() * DOUBT_LIMITS)
+fn doubt_timeout(shared: &Shared) -> Duration {
+    MAX_DOUBT_TIMEOUT.min(shared.append_rtt.limit() * DOUBT_RTT_FACTOR)
 }
 
 /// Why a record is not known to be in the store.
@@ -63,25 +63,25 @@
 }
 
 /// Why a job is refused here, as far as this front knows what it would wait for.
-fn refusal(shared: &Shared, now: Time, slack: Slack) -> Option<NotStored> {
+fn early_refusal(shared: &Shared, now: Time, slack: Slack) -> Option<NotStored> {
     if let Some(excess) = shared.overload.excess(now, slack) {
         return Some(NotStored::Overloaded(excess));
     }
-    let silence = shared.acceptance.failing_for(now);
-    let usual = TAKEOVER + shared.least_expiry;
-    silence_excess(silence, usual, slack).map(NotStored::NoOwner)
+    let outage = shared.owner_health.failing_for(now);
+    let usual = TAKEOVER_TIME + shared.min_expiry;
+    outage_excess(outage, usual, slack).map(NotStored::NoOwner)
 }
 
 /// Time in which a node takes the cell over once it may claim it, with little to read.
-const TAKEOVER: Duration = Duration::from_millis(1_500);
+const TAKEOVER_TIME: Duration = Duration::from_millis(1_500);
 
 /// Where a record is on its way.
 #[derive(Debug, Default)]
 struct Stage(AtomicU8);
 
-const WAITING: u8 = 0;
-const TAKEN: u8 = 1;
-const LEFT: u8 = 2;
+const QUEUED: u8 = 0;
+const IN_APPEND: u8 = 1;
+const WITHDRAWN: u8 = 2;
 
 struct Entry {
     record: Keyed,
@@ -93,15 +93,15 @@
 #[derive(Debug)]
 pub(crate) struct Intake {
     /// One for each partition.
-    lanes: Vec<Lane>,
+    partitions: Vec<PartitionQueue>,
 }
 
 /// What goes into one partition.
 #[derive(Debug)]
-struct Lane {
+struct PartitionQueue {
     queue: mpsc::Sender<Entry>,
     /// Since when the append under way is in doubt, in milliseconds; 0 if it is not.
-    doubt: Arc<AtomicU64>,
+    doubt_since: Arc<AtomicU64>,
     shared: Arc<Shared>,
 }
 
@@ -109,9 +109,9 @@
     /// Starts the appending tasks; `life` tells this process's appends from an earlier one's.
     pub(crate) fn start(shared: &Arc<Shared>, life: u64) -> Self {
         let parts = 0..shared.settings.parts;
-        let lanes = parts.map(|part| Lane::start(shared.clone(), life, part));
+        let partitions = parts.map(|part| PartitionQueue::start(shared.clone(), life, part));
         Self {
-            lanes: lanes.collect(),
+            partitions: partitions.collect(),
         }
     }
 
@@ -130,7 +130,7 @@
         let slack = Slack::of(sub, queue);
         let start = shared.clock.now();
         if let Some(slack) = slack
-            && let Some(refusal) = refusal(shared, start, slack)
+            && let Some(refusal) = early_refusal(shared, start, slack)
         {
             // It may be a repeat of a job that was accepted before.
             let Some((standing, waits)) = ask::standing(shared, id, sub.service.clone()).await
@@ -154,17 +154,17 @@
         let handed = ask::hand_in(shared, record.clone(), limit).await;
         match handed {
             HandInAnswer::Accepted => {
-                shared.acceptance.answered(shared.clock.now());
+                shared.owner_health.answered(shared.clock.now());
                 return Ok(());
             }
             HandInAnswer::Overloaded(waits) => {
-                shared.acceptance.answered(shared.clock.now());
+                shared.owner_health.answered(shared.clock.now());
                 shared.overload.learn(shared.clock.now(), waits);
                 let excess = slack.and_then(|s| waits.excess(s));
                 return Err(NotStored::Overloaded(excess.unwrap_or_default()));
             }
             HandInAnswer::Refused | HandInAnswer::Unknown => {
-                shared.acceptance.failed(shared.clock.now());
+                shared.owner_health.failed(shared.clock.now());
             }
         }
         let left = limit.saturating_sub(shared.clock.now().since(start));
@@ -185,27 +185,27 @@
         value: Vec<u8>,
         limit: Duration,
     ) -> Result<(), NotStored> {
-        let part = part_of(key.job(), self.lanes.len() as u32);
+        let part = intake_part(key.job(), self.partitions.len() as u32);
         let record = Keyed::new(key.to_string(), value);
-        self.lanes[part as usize].store(record, limit).await
+        self.partitions[part as usize].store(record, limit).await
     }
 }
 
-impl Lane {
+impl PartitionQueue {
     fn start(shared: Arc<Shared>, life: u64, part: u32) -> Self {
-        let (queue, entries) = mpsc::channel(QUEUE);
-        let doubt = Arc::new(AtomicU64::new(0));
+        let (queue, entries) = mpsc::channel(MAX_QUEUED);
+        let doubt_since = Arc::new(AtomicU64::new(0));
         let appender = Appender {
             shared: shared.clone(),
             part: intake(part),
-            doubt: doubt.clone(),
+            doubt_since: doubt_since.clone(),
             name: format!("{}-{life:x}", shared.settings.node),
             seq: 1,
         };
         tokio::spawn(appender.run(entries));
         Self {
             queue,
-            doubt,
+            doubt_since,
             shared,
         }
     }
@@ -226,42 +226,42 @@
         if self.queue.try_send(entry).is_err() {
             return Err(NotStored::Refused);
         }
-        let until = self.shared.clock.now().after(limit);
+        let deadline = self.shared.clock.now().after(limit);
         loop {
-            if let Ok(answer) = timeout(DOUBT_LIMIT, &mut answer).await {
+            if let Ok(answer) = timeout(MAX_DOUBT, &mut answer).await {
                 return answer.unwrap_or(Err(NotStored::Doubt));
             }
-            let over = self.shared.clock.now() >= until;
-            if (over || self.is_stuck()) && stage.leave() {
+            let expired = self.shared.clock.now() >= deadline;
+            if (expired || self.is_stuck()) && stage.withdraw() {
                 return Err(NotStored::Refused);
             }
-            if over {
+            if expired {
                 return Err(NotStored::Doubt);
             }
         }
     }
 
     fn is_stuck(&self) -> bool {
-        let since = self.doubt.load(Ordering::Relaxed);
-        since != 0 && self.shared.clock.now().since(Time::new(since)) > DOUBT_LIMIT
+        let since = self.doubt_since.load(Ordering::Relaxed);
+        since != 0 && self.shared.clock.now().since(Time::new(since)) > MAX_DOUBT
     }
 }
 
 impl Stage {
     /// The record goes into an append; false if its caller has left.
-    fn take(&self) -> bool {
-        self.pass(TAKEN)
+    fn begin_append(&self) -> bool {
+        self.transition(IN_APPEND)
     }
 
     /// The caller leaves; false if the record is in an append already.
-    fn leave(&self) -> bool {
-        self.pass(LEFT)
+    fn withdraw(&self) -> bool {
+        self.transition(WITHDRAWN)
     }
 
-    fn pass(&self, to: u8) -> bool {
+    fn transition(&self, to: u8) -> bool {
         let done = self
             .0
-            .compare_exchange(WAITING, to, Ordering::AcqRel, Ordering::Acquire);
+            .compare_exchange(QUEUED, to, Ordering::AcqRel, Ordering::Acquire);
         done.is_ok()
     }
 }
@@ -269,7 +269,7 @@
 struct Appender {
     shared: Arc<Shared>,
     part: Partition,
-    doubt: Arc<AtomicU64>,
+    doubt_since: Arc<AtomicU64>,
     name: String,
     seq: u64,
 }
@@ -279,13 +279,13 @@
         while let Some(first) = entries.recv().await {
             let mut batch = vec![first];
             let mut size = records_size(std::slice::from_ref(&batch[0].record));
-            while size < MAX_APPEND
+            while size < MAX_APPEND_BYTES
                 && let Ok(next) = entries.try_recv()
             {
                 size += records_size(std::slice::from_ref(&next.record));
                 batch.push(next);
             }
-            batch.retain(|e| e.stage.take());
+            batch.retain(|e| e.stage.begin_append());
             if batch.is_empty() {
                 continue;
             }
@@ -316,7 +316,7 @@
                 in_doubt,
             );
             tokio::pin!(append);
-            match timeout(doubt_after(&self.shared), append.as_mut()).await {
+            match timeout(doubt_timeout(&self.shared), append.as_mut()).await {
                 Ok(outcome) => outcome,
                 Err(_) => {
                     self.enter_doubt();
@@ -324,7 +324,7 @@
                 }
             }
         };
-        self.doubt.store(0, Ordering::Relaxed);
+        self.doubt_since.store(0, Ordering::Relaxed);
         match outcome {
             Ok(_) => {
                 self.shared.store_answered();
@@ -338,7 +338,7 @@
             }
             Err(error) => {
                 log::error!(error:% = error, seq = self.seq; "intake lost count");
-                self.begin_anew();
+                self.restart_sequence();
                 Err(NotStored::Doubt)
             }
         }
@@ -347,9 +347,9 @@
     fn enter_doubt(&self) {
         self.shared.store_failed();
         let now = self.shared.clock.now().get();
-        let before = self
-            .doubt
-            .compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
+        let before =
+            self.doubt_since
+                .compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
         if before.is_err() {
             return;
         }
@@ -357,7 +357,7 @@
     }
 
     /// Goes on under another name, whose sequence starts afresh.
-    fn begin_anew(&mut self) {
+    fn restart_sequence(&mut self) {
         self.name.push('x');
         self.seq = 1;
     }
--- a/crates/node/src/intake_follower.rs
+++ b/crates/node/src/intake_follower.rs
@@ -20,27 +20,27 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Pause after a read that failed.
-const RETRY: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// What a read of one partition of the intake has brought.
 #[derive(Debug)]
-pub(crate) struct Intaken {
+pub(crate) struct IntakePage {
     pub(crate) part: u32,
     pub(crate) records: Vec<Keyed>,
     /// Offset up to which every record was read.
     pub(crate) next: u64,
     /// When the read was sent, if it reached the partition's end.
-    pub(crate) whole: Option<Time>,
+    pub(crate) complete_at: Option<Time>,
 }
 
-impl Intaken {
+impl IntakePage {
     fn new(part: u32, page: &Page, sent: Time) -> Self {
         let next = page.from + page.records.len() as u64;
         Self {
             part,
             records: page.records.iter().filter_map(Keyed::read).collect(),
             next,
-            whole: (next >= page.end).then_some(sent),
+            complete_at: (next >= page.end).then_some(sent),
         }
     }
 }
@@ -58,16 +58,16 @@
         .read(intake(part), from, Duration::ZERO, READ_TIMEOUT);
     match page.await {
         Ok(page) => {
-            let read = Event::Intake(Intaken::new(part, &page, sent));
+            let read = Event::Intake(IntakePage::new(part, &page, sent));
             let _ = events.send(read).await;
         }
         // Whoever asks on hears that nobody knows, after its own patience.
         Err(e) => {
             log::info!(part = part, error:% = e; "intake not read for a question");
-            sleep(RETRY).await;
+            sleep(RETRY_DELAY).await;
         }
     }
-    let _ = events.send(Event::IntakeRead(part)).await;
+    let _ = events.send(Event::IntakeReadDone(part)).await;
 }
 
 /// Follows a partition of the intake until nobody takes its records any more.
@@ -88,7 +88,7 @@
                 if std::mem::take(&mut lost) {
                     log::info!(part = part; "intake regained");
                 }
-                let read = Intaken::new(part, &page, sent);
+                let read = IntakePage::new(part, &page, sent);
                 next = read.next;
                 let _ = events.send(Event::Intake(read)).await;
             }
@@ -97,7 +97,7 @@
                 if !std::mem::replace(&mut lost, true) {
                     log::warn!(part = part, error:% = e; "intake lost");
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -121,11 +121,11 @@
         let first = *end.get_or_insert(page.end);
         after = page.items.last().map(|i| i.key.clone());
         let records = page.items.into_iter().map(|i| Keyed::new(i.key, i.value));
-        let read = Intaken {
+        let read = IntakePage {
             part,
             records: records.collect(),
             next: first,
-            whole: None,
+            complete_at: None,
         };
         let _ = events.send(Event::Intake(read)).await;
         if !page.more {
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -14,7 +14,7 @@
 use crate::event::Event;
 use crate::shared::Shared;
 use crate::takeover::OWNER_NAME;
-use crate::topics::{IntakeKey, JOURNAL, intake, part_of};
+use crate::topics::{IntakeKey, JOURNAL, intake, intake_part};
 
 /// Time for an answer when something is dropped.
 const TIMEOUT: Duration = Duration::from_millis(700);
@@ -143,7 +143,7 @@
     pub(crate) async fn forget(&self, jobs: &[JobId]) {
         let parts = self.shared.settings.parts;
         for part in 0..parts {
-            let here = jobs.iter().filter(|id| part_of(**id, parts) == part);
+            let here = jobs.iter().filter(|id| intake_part(**id, parts) == part);
             let keys = here.flat_map(|id| [IntakeKey::Submitted(*id), IntakeKey::Cancelled(*id)]);
             let records: Vec<Keyed> = keys.map(|k| Keyed::dropped(k.to_string())).collect();
             self.drop_keys(part, &records).await;
--- a/crates/node/src/link_rate.rs
+++ b/crates/node/src/link_rate.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer};
 
 /// Bytes a second in a megabit a second.
-const MEGABIT: f64 = 125_000.0;
+const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
 /// Rate of a network link, in megabits a second.
 ///
@@ -19,35 +19,35 @@
 ///
 /// Failure: on a narrow link an answer queues behind others for longer than its time limit, and a
 /// sound worker or relay counts as lost.
-const QUEUED: usize = 128 << 10;
+const MAX_QUEUED_BYTES: usize = 128 << 10;
 
 /// A number that is no rate.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a link's rate is a positive number of megabits a second")]
-pub struct BadRate;
+pub struct InvalidRate;
 
 impl LinkRate {
     /// A rate in megabits a second.
-    pub fn new(megabits: f64) -> Result<Self, BadRate> {
+    pub fn new(megabits: f64) -> Result<Self, InvalidRate> {
         match megabits.is_finite() && megabits > 0.0 {
             true => Ok(Self(megabits)),
-            false => Err(BadRate),
+            false => Err(InvalidRate),
         }
     }
 
     /// Time that so many bytes take.
-    pub fn time_of(self, bytes: usize) -> Duration {
-        Duration::from_secs_f64(bytes as f64 / (self.0 * MEGABIT))
+    pub fn transfer_time(self, bytes: usize) -> Duration {
+        Duration::from_secs_f64(bytes as f64 / (self.0 * BYTES_PER_MEGABIT))
     }
 
     /// Time for which an answer may be queued on the link.
     pub fn queue_time(self) -> Duration {
-        self.time_of(QUEUED)
+        self.transfer_time(MAX_QUEUED_BYTES)
     }
 
     /// Bytes that go through in a time.
     pub fn bytes_in(self, time: Duration) -> usize {
-        (time.as_secs_f64() * self.0 * MEGABIT) as usize
+        (time.as_secs_f64() * self.0 * BYTES_PER_MEGABIT) as usize
     }
 }
 
@@ -65,11 +65,11 @@
 }
 
 impl FromStr for LinkRate {
-    type Err = BadRate;
+    type Err = InvalidRate;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
         let number = s.strip_suffix(" Mbit/s").unwrap_or(s);
-        Self::new(number.parse().map_err(|_| BadRate)?)
+        Self::new(number.parse().map_err(|_| InvalidRate)?)
     }
 }
 
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -14,22 +14,22 @@
 
 /// Lines that may wait to be written. Further ones are dropped and counted: nothing that serves
 /// a caller waits for whoever reads the log.
-const QUEUE: usize = 2_048;
+const MAX_QUEUED: usize = 2_048;
 
 /// Most bytes that are written at a time, beside the last line: readers of pipes cut long
 /// writes.
-const MAX_WRITE: usize = 4 << 10;
+const MAX_WRITE_BYTES: usize = 4 << 10;
 
 /// Lines that were dropped since the last one that was written.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// Sends log lines to standard output.
 pub fn init_log() -> Result<(), NodeError> {
-    let (queue, lines) = sync_channel::<String>(QUEUE);
+    let (queue, lines) = sync_channel::<String>(MAX_QUEUED);
     thread::spawn(move || {
         while let Ok(first) = lines.recv() {
             let mut text = first;
-            while text.len() < MAX_WRITE
+            while text.len() < MAX_WRITE_BYTES
                 && let Ok(next) = lines.try_recv()
             {
                 text.push_str(&next);
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -11,10 +11,10 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-use crate::peer_traffic::link_use;
+use crate::peer_traffic::traffic_by_kind;
 
 /// Upper bounds of the latency buckets, in seconds.
-const LATENCY: [f64; 12] = [
+const LATENCY_BUCKETS: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
 ];
 
@@ -26,13 +26,13 @@
     answers: Counter<u64>,
     refusals: Counter<u64>,
     latency: Histogram<f64>,
-    appends: Counter<u64>,
-    append_time: Histogram<f64>,
+    append_failures: Counter<u64>,
+    journal_time: Histogram<f64>,
     orders: Counter<u64>,
-    looks: Counter<u64>,
-    duties: Counter<u64>,
-    ended: Counter<u64>,
-    lost: Counter<u64>,
+    polls: Counter<u64>,
+    instance_orders: Counter<u64>,
+    worker_ends: Counter<u64>,
+    runs_lost: Counter<u64>,
     given_up: Counter<u64>,
     epoch: Gauge<u64>,
     relays: Gauge<u64>,
@@ -55,33 +55,33 @@
             histogram.with_boundaries(bounds.to_vec()).build()
         };
         let calls = meter.u64_observable_counter("cactuswheel_node_calls");
-        let calls = calls.with_callback(|seen| {
+        let calls = calls.with_callback(|observer| {
             for t in traffic() {
-                seen.observe(t.calls, &[KeyValue::new("kind", t.kind)]);
+                observer.observe(t.calls, &[KeyValue::new("kind", t.kind)]);
             }
         });
         calls.build();
         let bytes = meter.u64_observable_counter("cactuswheel_node_call_bytes");
-        let bytes = bytes.with_callback(|seen| {
-            for t in link_use() {
+        let bytes = bytes.with_callback(|observer| {
+            for t in traffic_by_kind() {
                 let kind = KeyValue::new("kind", t.kind);
                 let direction = |name: &'static str| KeyValue::new("direction", name);
-                seen.observe(t.sent, &[kind.clone(), direction("out")]);
-                seen.observe(t.received, &[kind, direction("in")]);
+                observer.observe(t.sent, &[kind.clone(), direction("out")]);
+                observer.observe(t.received, &[kind, direction("in")]);
             }
         });
         bytes.build();
         Ok(Self {
             answers: counter("cactuswheel_node_answers"),
             refusals: counter("cactuswheel_node_refusals"),
-            latency: seconds("cactuswheel_node_answer_seconds", &LATENCY),
-            appends: counter("cactuswheel_node_append_failures"),
-            append_time: seconds("cactuswheel_node_journal_seconds", &LATENCY),
+            latency: seconds("cactuswheel_node_answer_seconds", &LATENCY_BUCKETS),
+            append_failures: counter("cactuswheel_node_append_failures"),
+            journal_time: seconds("cactuswheel_node_journal_seconds", &LATENCY_BUCKETS),
             orders: counter("cactuswheel_node_orders"),
-            looks: counter("cactuswheel_node_looks"),
-            duties: counter("cactuswheel_node_instance_orders"),
-            ended: counter("cactuswheel_node_worker_ends"),
-            lost: counter("cactuswheel_node_runs_lost"),
+            polls: counter("cactuswheel_node_looks"),
+            instance_orders: counter("cactuswheel_node_instance_orders"),
+            worker_ends: counter("cactuswheel_node_worker_ends"),
+            runs_lost: counter("cactuswheel_node_runs_lost"),
             given_up: counter("cactuswheel_node_jobs_given_up"),
             busy: meter
                 .u64_gauge("cactuswheel_node_owner_busy_percent")
@@ -110,11 +110,12 @@
     }
 
     pub(crate) fn append_failed(&self, topic: &'static str) {
-        self.appends.add(1, &[KeyValue::new("topic", topic)]);
+        self.append_failures
+            .add(1, &[KeyValue::new("topic", topic)]);
     }
 
     pub(crate) fn journaled(&self, took: Duration) {
-        self.append_time.record(took.as_secs_f64(), &[]);
+        self.journal_time.record(took.as_secs_f64(), &[]);
     }
 
     pub(crate) fn ordered(&self, kind: &'static str, outcome: &'static str) {
@@ -123,33 +124,34 @@
         self.orders.add(1, &[kind, outcome]);
     }
 
-    pub(crate) fn looked(&self, outcome: &'static str) {
-        self.looks.add(1, &[KeyValue::new("outcome", outcome)]);
+    pub(crate) fn polled(&self, outcome: &'static str) {
+        self.polls.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     pub(crate) fn instance_ordered(&self, outcome: &'static str) {
-        self.duties.add(1, &[KeyValue::new("outcome", outcome)]);
+        self.instance_orders
+            .add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// What the cell has counted since it was last asked.
-    pub(crate) fn tallied(&self, since: Tallies) {
-        self.ended.add(since.ended, &[]);
-        self.lost.add(since.lost, &[]);
+    pub(crate) fn add_tallies(&self, since: Tallies) {
+        self.worker_ends.add(since.ended, &[]);
+        self.runs_lost.add(since.lost, &[]);
         self.given_up.add(since.given_up, &[]);
     }
 
     /// Share of the time for which the owner was at work, in percent.
-    pub(crate) fn busy(&self, percent: u64) {
+    pub(crate) fn set_busy(&self, percent: u64) {
         self.busy.record(percent, &[]);
     }
 
     /// Nodes that relay this owner's orders.
-    pub(crate) fn relays(&self, count: usize) {
+    pub(crate) fn set_relays(&self, count: usize) {
         self.relays.record(count as u64, &[]);
     }
 
     /// 0 while this node does not own the cell.
-    pub(crate) fn owns(&self, epoch: u64) {
+    pub(crate) fn set_epoch(&self, epoch: u64) {
         self.epoch.record(epoch, &[]);
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -23,13 +23,13 @@
 
 /// Time from the signal to stop until no more connections are taken: the balancer looks once a
 /// second and believes the second refusal.
-const LAG: Duration = Duration::from_millis(2_300);
+const BALANCER_DELAY: Duration = Duration::from_millis(2_300);
 
 /// Time left before the process is killed.
-const LAST_MOMENT: Duration = Duration::from_millis(500);
+const KILL_MARGIN: Duration = Duration::from_millis(500);
 
 /// How often a stopping node looks whether it has answered everything.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a node until it is told to stop.
 pub async fn run(path: PathBuf, settings: Settings) -> Result<(), NodeError> {
@@ -38,9 +38,9 @@
     let hangup = signal(SignalKind::hangup())?;
     let life: u64 = rand::rng().random();
     let callers = TcpListener::bind(settings.listen.callers).await?;
-    let balancer = TcpListener::bind(settings.listen.ready).await?;
+    let ready_listener = TcpListener::bind(settings.listen.ready).await?;
     let peers = TcpListener::bind(settings.listen.peers).await?;
-    let readers = TcpListener::bind(settings.listen.metrics).await?;
+    let metrics_listener = TcpListener::bind(settings.listen.metrics).await?;
     let shared = Arc::new(Shared::new(settings, life, Metrics::new()?));
     log::info!(
         node:% = shared.settings.node, zone:% = shared.settings.zone, life = life,
@@ -49,15 +49,15 @@
     );
     let (role, roles) = watch::channel(Role::Idle);
     let (halt, halted) = watch::channel(false);
-    serve_others(&shared, balancer, peers, readers);
-    tokio::spawn(reload(hangup, path, shared.clone()));
+    spawn_services(&shared, ready_listener, peers, metrics_listener);
+    tokio::spawn(watch_settings(hangup, path, shared.clone()));
     tokio::spawn(owner::run(shared.clone(), roles.clone()));
     let lead = Lead::new(shared.clone(), life, role);
     let lead = tokio::spawn(lead.run(halted));
     let front = Arc::new(Front {
         intake: Intake::start(&shared, life),
         shared: shared.clone(),
-        busy: AtomicUsize::new(0),
+        in_flight: AtomicUsize::new(0),
     });
     let stop = CancellationToken::new();
     let open = TaskTracker::new();
@@ -67,7 +67,7 @@
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
     }
-    log::info!(busy = front.busy.load(Ordering::Acquire) as u64; "node stops");
+    log::info!(busy = front.in_flight.load(Ordering::Acquire) as u64; "node stops");
     shared.stop();
     let _ = halt.send(true);
     let finish = async {
@@ -75,42 +75,42 @@
         if let Role::Owner { epoch, .. } = *roles.borrow() {
             Lead::release(&shared, epoch, life).await;
         }
-        sleep(LAG).await;
+        sleep(BALANCER_DELAY).await;
         stop.cancel();
         let _ = server.await;
-        answer_all(&front, &open).await;
+        drain_requests(&front, &open).await;
     };
     let grace = shared.settings.times.grace.duration();
-    let whole = timeout(grace.saturating_sub(LAST_MOMENT), finish).await;
+    let complete = timeout(grace.saturating_sub(KILL_MARGIN), finish).await;
     log::info!(
-        whole = whole.is_ok(), busy = front.busy.load(Ordering::Acquire) as u64;
+        whole = complete.is_ok(), busy = front.in_flight.load(Ordering::Acquire) as u64;
         "node stopped"
     );
     // The last lines are written by another thread.
-    sleep(LOOK).await;
+    sleep(POLL_INTERVAL).await;
     Ok(())
 }
 
 /// Starts what goes on until the process ends, whoever owns the cell.
-fn serve_others(
+fn spawn_services(
     shared: &Arc<Shared>,
-    balancer: TcpListener,
+    ready_listener: TcpListener,
     peers: TcpListener,
-    readers: TcpListener,
+    metrics_listener: TcpListener,
 ) {
     tokio::spawn(config_follower::follow(shared.clone()));
-    tokio::spawn(ready::serve(balancer, shared.clone()));
+    tokio::spawn(ready::serve(ready_listener, shared.clone()));
     tokio::spawn(peer::serve(peers, shared.clone()));
-    tokio::spawn(serve_metrics(readers, shared.clone()));
+    tokio::spawn(serve_metrics(metrics_listener, shared.clone()));
     tokio::spawn(relay_server::offer(shared.clone()));
 }
 
 /// Waits until every request has its answer and every caller's connection is closed.
-async fn answer_all(front: &Front, open: &TaskTracker) {
+async fn drain_requests(front: &Front, open: &TaskTracker) {
     open.close();
     open.wait().await;
-    while front.busy.load(Ordering::Acquire) > 0 {
-        sleep(LOOK).await;
+    while front.in_flight.load(Ordering::Acquire) > 0 {
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -123,7 +123,7 @@
 
 /// Says at each hangup what the settings file holds now. Addresses and names are fixed for the
 /// life of a process; whoever changes them restarts it.
-async fn reload(mut hangup: Signal, path: PathBuf, shared: Arc<Shared>) {
+async fn watch_settings(mut hangup: Signal, path: PathBuf, shared: Arc<Shared>) {
     while hangup.recv().await.is_some() {
         match Settings::load(&path) {
             Ok(settings) => {
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -24,8 +24,8 @@
     /// By how much a job with this slack would begin too late, as far as is known.
     pub fn excess(&self, now: Time, slack: Slack) -> Option<Duration> {
         let known = self.0.load();
-        let (told, waits) = known.as_deref()?;
-        waits.after(now.since(*told)).excess(slack)
+        let (received, waits) = known.as_deref()?;
+        waits.after(now.since(*received)).excess(slack)
     }
 }
 
@@ -35,7 +35,7 @@
 /// Failure: nobody owns the cell for ten seconds, fronts store all that comes, the next owner has to
 /// read it before it starts anything and loses the ownership over it, and hundreds of jobs that were
 /// accepted never run.
-pub fn silence_excess(silence: Duration, usual: Duration, slack: Slack) -> Option<Duration> {
-    let excess = silence.saturating_sub(usual + slack.timely);
+pub fn outage_excess(outage: Duration, usual: Duration, slack: Slack) -> Option<Duration> {
+    let excess = outage.saturating_sub(usual + slack.timely);
     (!excess.is_zero()).then_some(excess)
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -12,10 +12,10 @@
 use tokio::time::{sleep, timeout};
 
 use crate::dispatcher::Dispatcher;
-use crate::event::{Ask, Event};
+use crate::event::{Event, Query};
 use crate::fleet::Fleet;
 use crate::hand_ins::HandIns;
-use crate::intake_follower::{Intaken, follow_intake, read_intake};
+use crate::intake_follower::{IntakePage, follow_intake, read_intake};
 use crate::owner_handle::OwnerHandle;
 use crate::peer::{JobAnswer, QueueAnswer};
 use crate::relay_request::{Report, Reports};
@@ -23,7 +23,7 @@
 use crate::roster;
 use crate::shared::Shared;
 use crate::takeover::{TakeoverError, take_intake, take_over};
-use crate::topics::part_of;
+use crate::topics::intake_part;
 use crate::view::{cell_view, job_view};
 
 /// Events that may wait; each task that sends them has one or two under way.
@@ -54,8 +54,8 @@
                     log::warn!(epoch = epoch; "ownership is over");
                 }
             }
-            shared.own.store(None);
-            shared.metrics.owns(0);
+            shared.local_owner.store(None);
+            shared.metrics.set_epoch(0);
         }
         if role.wait_for(|r| *r != now).await.is_err() {
             return;
@@ -74,7 +74,7 @@
             }
             Err(e @ TakeoverError::TooLarge { .. }) => {
                 log::error!(epoch = epoch, error:% = e; "cell not taken over: others go first");
-                shared.decline();
+                shared.pause_claims();
                 return;
             }
             Err(e) => {
@@ -83,7 +83,7 @@
             }
         }
     };
-    shared.metrics.owns(epoch);
+    shared.metrics.set_epoch(epoch);
     let (events, inbox) = mpsc::channel(QUEUE);
     let follow = |(part, from): (usize, &u64)| {
         let (shared, events) = (shared.clone(), events.clone());
@@ -113,7 +113,9 @@
         events: events.clone(),
         shared: shared.clone(),
     };
-    shared.own.store(Some(Arc::new(OwnerHandle { events })));
+    shared
+        .local_owner
+        .store(Some(Arc::new(OwnerHandle { events })));
     owner.run(inbox).await;
 }
 
@@ -170,7 +172,7 @@
             if let Some(fleet) = &mut self.fleet {
                 fleet.plan(&mut self.cell);
             }
-            self.cell.confirmed(self.shared.lead_age());
+            self.cell.confirmed(self.shared.ownership_age());
             self.cell.link_is_full(self.dispatcher.is_link_full());
             self.cell.name_specs(self.dispatcher.names_specs());
             let outputs = self
@@ -188,7 +190,7 @@
             }
             self.dispatcher.flush(self.hand_ins.origins());
             self.dispatcher.busy(woken.elapsed());
-            self.shared.metrics.tallied(self.cell.take_tallies());
+            self.shared.metrics.add_tallies(self.cell.take_tallies());
             if deposed {
                 log::warn!("ownership is over: a newer owner is at work");
                 return;
@@ -213,21 +215,21 @@
         match event {
             Event::HandIn(handed) => self.hand_ins.take(&self.cell, handed),
             Event::Intake(read) => self.take_records(read),
-            Event::IntakeRead(part) => {
+            Event::IntakeReadDone(part) => {
                 self.reads.over(part);
                 self.answer_parked();
             }
-            Event::Worker(entry) => {
+            Event::WorkerUpdated(entry) => {
                 self.dispatcher.place(&entry);
                 self.cell.list(now, entry);
             }
-            Event::NoWorker(id) => {
+            Event::WorkerRemoved(id) => {
                 self.cell.unlist(now, &id);
                 self.dispatcher.forget(&id);
             }
-            Event::Listed => self.dispatcher.know_all(),
+            Event::RosterComplete => self.dispatcher.know_all(),
             Event::Report(report) => self.take_report(report),
-            Event::Relayed(reports, reply) => {
+            Event::RelayReports(reports, reply) => {
                 self.take_relayed(reports);
                 // A relay that has stopped waiting tells it again, which does no harm.
                 let _ = reply.send(true);
@@ -248,7 +250,7 @@
                     fleet.listed(instances, sent);
                 }
             }
-            Event::Ordered(order, worker, outcome) => {
+            Event::InstanceOrdered(order, worker, outcome) => {
                 if let Some(fleet) = &mut self.fleet {
                     fleet.ordered(&mut self.cell, &order, worker.as_ref(), outcome);
                 }
@@ -258,22 +260,22 @@
                     self.dispatcher.forget(worker);
                 }
             }
-            Event::Advised(step, good) => self.cell.advised(now, step, good),
-            Event::Ask(ask) => self.answer(ask),
+            Event::PolicyAnswer(step, good) => self.cell.advised(now, step, good),
+            Event::Query(ask) => self.answer(ask),
         }
         false
     }
 
     /// Answers a question; whoever has stopped waiting needs no answer.
-    fn answer(&mut self, ask: Ask) {
+    fn answer(&mut self, ask: Query) {
         match ask {
-            Ask::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
-            Ask::Standing(id, service, reply) => {
+            Query::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
+            Query::Standing(id, service, reply) => {
                 let _ = reply.send((self.cell.standing(id), self.cell.waits(&service)));
             }
-            Ask::View(reply) => drop(reply.send(cell_view(&self.cell))),
-            Ask::Story(id, reply) => drop(reply.send(job_view(&self.cell, id))),
-            Ask::Queue(name, reply) => {
+            Query::CellView(reply) => drop(reply.send(cell_view(&self.cell))),
+            Query::JobView(id, reply) => drop(reply.send(job_view(&self.cell, id))),
+            Query::Queue(name, reply) => {
                 let pending = self.cell.pending(&name);
                 drop(reply.send(QueueAnswer::Pending(pending)));
             }
@@ -289,7 +291,7 @@
                     Ok(_) => "ok",
                     Err(_) => "failed",
                 };
-                self.shared.metrics.looked(outcome);
+                self.shared.metrics.polled(outcome);
                 self.cell.looked(now, &id, look, answer);
             }
             // Relays' looks were made whole before.
@@ -311,14 +313,14 @@
         }
     }
 
-    fn take_records(&mut self, read: Intaken) {
+    fn take_records(&mut self, read: IntakePage) {
         let now = self.shared.clock.now();
         for record in read.records {
             if let Some(value) = &record.value {
                 take_intake(&self.shared, &mut self.cell, now, &record.key, value);
             }
         }
-        self.reads.taken(read.part, read.next, read.whole);
+        self.reads.taken(read.part, read.next, read.complete_at);
         self.answer_parked();
     }
 
@@ -352,10 +354,10 @@
     /// Whether every job of this one's partition is known that was accepted before `since`; sees
     /// to it that it will be.
     fn is_up_to_date(&mut self, id: JobId, since: Time) -> bool {
-        if !self.shared.led_since(since) {
+        if !self.shared.ownership_confirmed_since(since) {
             return false;
         }
-        let part = part_of(id, self.shared.settings.parts);
+        let part = intake_part(id, self.shared.settings.parts);
         match self.reads.ask(part, since) {
             Known::Yes => true,
             Known::Wait => false,
--- a/crates/node/src/owner_handle.rs
+++ b/crates/node/src/owner_handle.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clock::Clock;
-use crate::event::{Ask, Event, Handed};
+use crate::event::{Event, HandInRequest, Query};
 use crate::peer::{HandInAnswer, JobAnswer, QueueAnswer};
 use crate::relay_request::Reports;
 
@@ -23,19 +23,19 @@
 
 impl OwnerHandle {
     /// Without an owner the question is dropped, and whoever waits for the answer hears of it.
-    async fn ask(&self, ask: Ask) {
-        let _ = self.events.send(Event::Ask(ask)).await;
+    async fn ask(&self, ask: Query) {
+        let _ = self.events.send(Event::Query(ask)).await;
     }
 
     pub(crate) async fn job(&self, id: JobId) -> JobAnswer {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Job(id, reply)).await;
+        self.ask(Query::Job(id, reply)).await;
         answer.await.unwrap_or(JobAnswer::NotOwner)
     }
 
     pub(crate) async fn queue(&self, name: QueueName) -> QueueAnswer {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Queue(name, reply)).await;
+        self.ask(Query::Queue(name, reply)).await;
         answer.await.unwrap_or(QueueAnswer::NotOwner)
     }
 
@@ -46,21 +46,21 @@
         service: ServiceName,
     ) -> Option<(Standing, Waits)> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Standing(id, service, reply)).await;
+        self.ask(Query::Standing(id, service, reply)).await;
         answer.await.ok()
     }
 
     /// The cell, for operators; `None` if the owner is gone.
     pub(crate) async fn view(&self) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::View(reply)).await;
+        self.ask(Query::CellView(reply)).await;
         answer.await.ok()
     }
 
     /// One job, for operators; `None` if there is none.
     pub(crate) async fn story(&self, id: JobId) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Story(id, reply)).await;
+        self.ask(Query::JobView(id, reply)).await;
         answer.await.ok()?
     }
 
@@ -81,7 +81,7 @@
     ) -> HandInAnswer {
         let (reply, answer) = oneshot::channel();
         let until = Clock.now().after(limit);
-        let handed = Handed {
+        let handed = HandInRequest {
             record,
             origin,
             until,
@@ -96,7 +96,7 @@
     /// False if the owner is gone.
     pub(crate) async fn report(&self, reports: Reports) -> bool {
         let (reply, answer) = oneshot::channel();
-        let sent = self.events.send(Event::Relayed(reports, reply)).await;
+        let sent = self.events.send(Event::RelayReports(reports, reply)).await;
         sent.is_ok() && answer.await.unwrap_or(false)
     }
 }
--- a/crates/node/src/owner_stats.rs
+++ b/crates/node/src/owner_stats.rs
@@ -4,7 +4,7 @@
 
 use cactuswheel_model::{Map, Time};
 
-use crate::peer_traffic::link_use;
+use crate::peer_traffic::traffic_by_kind;
 
 /// Time between two lines.
 const EVERY: Duration = Duration::from_secs(5);
@@ -21,7 +21,7 @@
 
 impl OwnerStats {
     pub(crate) fn new(now: Time) -> Self {
-        let before = link_use().map(|t| (t.kind, (t.sent, t.received)));
+        let before = traffic_by_kind().map(|t| (t.kind, (t.sent, t.received)));
         Self {
             told: now,
             busy: Duration::ZERO,
@@ -45,7 +45,7 @@
         let percent = (busy.as_millis() * 100 / passed.as_millis().max(1)) as u64;
         let mut rates: Vec<(u64, u64, &str)> = Vec::new();
         let per_second = |bytes: u64| bytes * 1_000 / passed.as_millis().max(1) as u64;
-        for t in link_use() {
+        for t in traffic_by_kind() {
             let now = (t.sent, t.received);
             let (sent, received) = self.before.insert(t.kind, now).unwrap_or_default();
             rates.push((
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -37,11 +37,11 @@
 const SPEC_WAIT: Duration = Duration::from_millis(300);
 
 /// Pause between two looks for it.
-const SPEC_PAUSE: Duration = Duration::from_millis(20);
+const SPEC_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Where the cell's owner is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct OwnerAt {
+pub(crate) struct OwnerAddress {
     pub(crate) node: NodeName,
     pub(crate) addr: SocketAddr,
     pub(crate) epoch: u64,
@@ -109,14 +109,14 @@
 
 impl Peer for Server {
     async fn job(self, _: Context, id: JobId) -> JobAnswer {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.job(id).await,
             None => JobAnswer::NotOwner,
         }
     }
 
     async fn queue(self, _: Context, name: QueueName) -> QueueAnswer {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.queue(name).await,
             None => QueueAnswer::NotOwner,
         }
@@ -128,7 +128,7 @@
         id: JobId,
         service: ServiceName,
     ) -> Option<(Standing, Waits)> {
-        self.0.own.load_full()?.standing(id, service).await
+        self.0.local_owner.load_full()?.standing(id, service).await
     }
 
     async fn hand_in(
@@ -139,25 +139,25 @@
         limit: u64,
     ) -> HandInAnswer {
         let limit = Duration::from_millis(limit);
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.hand_in(record, origin, limit).await,
             None => HandInAnswer::Refused,
         }
     }
 
     async fn spec(self, _: Context, digest: SpecDigest) -> Option<Arc<str>> {
-        let until = self.0.clock.now().after(SPEC_WAIT);
+        let deadline = self.0.clock.now().after(SPEC_WAIT);
         loop {
             let spec = self.0.specs().get(&digest);
-            if spec.is_some() || self.0.clock.now() >= until {
+            if spec.is_some() || self.0.clock.now() >= deadline {
                 return spec;
             }
-            sleep(SPEC_PAUSE).await;
+            sleep(SPEC_POLL_INTERVAL).await;
         }
     }
 
     async fn enlist(self, _: Context, offer: Offer) -> Reply {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.enlist(offer).await,
             None => Reply::NotOwner,
         }
@@ -168,7 +168,7 @@
     }
 
     async fn report(self, _: Context, reports: Reports) -> bool {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.report(reports).await,
             None => false,
         }
@@ -198,12 +198,12 @@
 
 /// A connection to the owner.
 #[derive(Debug, Clone)]
-pub(crate) struct OwnerLink {
+pub(crate) struct PeerLink {
     pub(crate) addr: SocketAddr,
     client: PeerClient,
 }
 
-impl OwnerLink {
+impl PeerLink {
     pub(crate) async fn connect(addr: SocketAddr) -> Option<Self> {
         let connect = TcpStream::connect(addr);
         let stream = timeout(CONNECT_TIMEOUT, connect).await.ok()?.ok()?;
@@ -216,11 +216,14 @@
     }
 
     pub(crate) async fn job(&self, id: JobId, limit: Duration) -> Option<JobAnswer> {
-        self.client.job(within(limit), id).await.ok()
+        self.client.job(context_with_timeout(limit), id).await.ok()
     }
 
     pub(crate) async fn queue(&self, name: QueueName, limit: Duration) -> Option<QueueAnswer> {
-        self.client.queue(within(limit), name).await.ok()
+        self.client
+            .queue(context_with_timeout(limit), name)
+            .await
+            .ok()
     }
 
     /// `None` if no owner answers there.
@@ -230,7 +233,9 @@
         service: ServiceName,
         limit: Duration,
     ) -> Option<(Standing, Waits)> {
-        let answer = self.client.standing(within(limit), id, service);
+        let answer = self
+            .client
+            .standing(context_with_timeout(limit), id, service);
         answer.await.ok()?
     }
 
@@ -242,29 +247,43 @@
         limit: Duration,
     ) -> Option<HandInAnswer> {
         let ms = limit.as_millis() as u64;
-        let answer = self.client.hand_in(within(limit), record, origin, ms);
+        let answer = self
+            .client
+            .hand_in(context_with_timeout(limit), record, origin, ms);
         answer.await.ok()
     }
 
     /// `None` if it is not kept there, or no answer came.
     pub(crate) async fn spec(&self, digest: SpecDigest, limit: Duration) -> Option<Arc<str>> {
-        self.client.spec(within(limit), digest).await.ok()?
+        self.client
+            .spec(context_with_timeout(limit), digest)
+            .await
+            .ok()?
     }
 
     pub(crate) async fn enlist(&self, offer: Offer, limit: Duration) -> Option<Reply> {
-        self.client.enlist(within(limit), offer).await.ok()
+        self.client
+            .enlist(context_with_timeout(limit), offer)
+            .await
+            .ok()
     }
 
     pub(crate) async fn submit(&self, request: RelayRequest, limit: Duration) -> Option<bool> {
-        self.client.submit(within(limit), request).await.ok()
+        self.client
+            .submit(context_with_timeout(limit), request)
+            .await
+            .ok()
     }
 
     pub(crate) async fn report(&self, reports: Reports, limit: Duration) -> Option<bool> {
-        self.client.report(within(limit), reports).await.ok()
+        self.client
+            .report(context_with_timeout(limit), reports)
+            .await
+            .ok()
     }
 }
 
-fn within(limit: Duration) -> Context {
+fn context_with_timeout(limit: Duration) -> Context {
     let mut context = context::current();
     context.deadline = Instant::now() + limit;
     context
--- a/crates/node/src/peer_traffic.rs
+++ b/crates/node/src/peer_traffic.rs
@@ -6,26 +6,26 @@
 use cactuswheel_http::{Meter, Metered};
 use tokio::net::TcpStream;
 
-static PEERS: LazyLock<Arc<Meter>> = LazyLock::new(Arc::default);
+static PEER_METER: LazyLock<Arc<Meter>> = LazyLock::new(Arc::default);
 
 /// A connection between nodes, whose bytes are counted.
 pub(crate) fn metered(stream: TcpStream) -> Metered<TcpStream> {
-    Metered::new(stream, Some(PEERS.clone()))
+    Metered::new(stream, Some(PEER_METER.clone()))
 }
 
 /// What this process has sent and received, by kind of call; calls between nodes are one kind.
-pub(crate) fn link_use() -> impl Iterator<Item = Traffic> {
+pub(crate) fn traffic_by_kind() -> impl Iterator<Item = Traffic> {
     let peers = Traffic {
         kind: "peers",
         calls: 0,
-        sent: PEERS.sent(),
-        received: PEERS.received(),
+        sent: PEER_METER.sent(),
+        received: PEER_METER.received(),
     };
     traffic().chain([peers])
 }
 
 /// All that this process has sent and received, in bytes.
-pub(crate) fn link_bytes() -> (u64, u64) {
+pub(crate) fn total_traffic() -> (u64, u64) {
     let add = |(sent, received): (u64, u64), t: Traffic| (sent + t.sent, received + t.received);
-    link_use().fold((0, 0), add)
+    traffic_by_kind().fold((0, 0), add)
 }
--- a/crates/node/src/ready.rs
+++ b/crates/node/src/ready.rs
@@ -28,7 +28,7 @@
         tokio::spawn(async move {
             let service = service_fn(move |request| {
                 let status = status(&shared, &request);
-                async move { Ok::<_, Infallible>(bare(status)) }
+                async move { Ok::<_, Infallible>(empty_response(status)) }
             });
             let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             // A balancer that breaks off asks again.
@@ -47,7 +47,7 @@
     }
 }
 
-fn bare(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = status;
     answer
--- a/crates/node/src/relay_client.rs
+++ b/crates/node/src/relay_client.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{Semaphore, mpsc};
 
 use crate::event::Event;
-use crate::peer::OwnerLink;
+use crate::peer::PeerLink;
 use crate::relay_request::{Envelope, RelayRequest};
 use crate::shared::Shared;
 
@@ -127,7 +127,7 @@
     events: mpsc::Sender<Event>,
 ) {
     let lost = |why| Event::RelayLost(node.clone(), why);
-    let Some(link) = OwnerLink::connect(addr).await else {
+    let Some(link) = PeerLink::connect(addr).await else {
         let _ = events.send(lost("cannot be reached")).await;
         return;
     };
--- a/crates/node/src/relay_server.rs
+++ b/crates/node/src/relay_server.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use crate::order_sender::{OrderSender, OrderSink};
-use crate::peer::OwnerLink;
+use crate::peer::PeerLink;
 use crate::relay_request::{Incomplete, Order, RelayRequest, Report, Reports};
 use crate::shared::Shared;
 use crate::spec_fetcher::SpecFetcher;
@@ -204,7 +204,7 @@
         let mut arrived = false;
         for _ in 0..TRIES {
             if link.is_none() {
-                link = OwnerLink::connect(owner).await;
+                link = PeerLink::connect(owner).await;
             }
             let Some(to) = &link else {
                 continue;
@@ -239,7 +239,7 @@
     let cores = shared.settings.cores;
     let first = CORE_DELAY.div_f64(cores).min(MAX_DELAY);
     let mut asked = None;
-    let mut link: Option<OwnerLink> = None;
+    let mut link: Option<PeerLink> = None;
     loop {
         let Some(owner) = shared.owner.load_full() else {
             sleep(HEARTBEAT).await;
@@ -254,7 +254,7 @@
             sleep(first).await;
         }
         if link.as_ref().is_none_or(|l| l.addr != owner.addr) {
-            link = OwnerLink::connect(owner.addr).await;
+            link = PeerLink::connect(owner.addr).await;
         }
         let reply = match &link {
             Some(to) => to.enlist(own_offer(&shared), TIMEOUT).await,
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -22,29 +22,29 @@
 
 /// Pause between reads. Every worker writes each second or two, so without it a read would
 /// bring one record; with it, some ten.
-const PAUSE: Duration = Duration::from_millis(150);
+const READ_PAUSE: Duration = Duration::from_millis(150);
 
 /// Follows the workers' entries until nobody takes them any more.
 pub(crate) async fn follow(shared: Arc<Shared>, events: mpsc::Sender<Event>) {
     let mut known = Set::default();
     let mut lost = false;
     loop {
-        let failed = match start(&shared, &events, &mut known).await {
-            Ok(end) => tail(&shared, &events, &mut known, end, &mut lost).await,
+        let failure = match read_newest(&shared, &events, &mut known).await {
+            Ok(end) => follow_from(&shared, &events, &mut known, end, &mut lost).await,
             Err(e) => e,
         };
         if events.is_closed() {
             return;
         }
-        if !lost && !matches!(failed, ReadError::Deleted) {
+        if !lost && !matches!(failure, ReadError::Deleted) {
             lost = true;
-            log::warn!(error:% = failed; "roster lost");
+            log::warn!(error:% = failure; "roster lost");
         }
-        sleep(PAUSE).await;
+        sleep(READ_PAUSE).await;
     }
 }
 
-async fn start(
+async fn read_newest(
     shared: &Shared,
     events: &mpsc::Sender<Event>,
     known: &mut Set<WorkerId>,
@@ -60,21 +60,21 @@
         after = page.items.last().map(|i| i.key.clone());
         for item in page.items {
             listed.insert(item.key.as_str().into());
-            take(events, known, Keyed::new(item.key, item.value)).await;
+            publish(events, known, Keyed::new(item.key, item.value)).await;
         }
         if !page.more {
             let gone: Vec<WorkerId> = known.difference(&listed).cloned().collect();
             for id in gone {
-                take(events, known, Keyed::dropped(id.as_str())).await;
+                publish(events, known, Keyed::dropped(id.as_str())).await;
             }
             // Whoever takes this knows every entry.
-            let _ = events.send(Event::Listed).await;
+            let _ = events.send(Event::RosterComplete).await;
             return Ok(from);
         }
     }
 }
 
-async fn tail(
+async fn follow_from(
     shared: &Shared,
     events: &mpsc::Sender<Event>,
     known: &mut Set<WorkerId>,
@@ -99,30 +99,30 @@
         next += page.records.len() as u64;
         for record in &page.records {
             match Keyed::read(record) {
-                Some(record) => take(events, known, record).await,
+                Some(record) => publish(events, known, record).await,
                 None => log::warn!(offset = page.from; "worker's record without a key"),
             }
         }
-        sleep(PAUSE).await;
+        sleep(READ_PAUSE).await;
     }
 }
 
-async fn take(events: &mpsc::Sender<Event>, known: &mut Set<WorkerId>, record: Keyed) {
+async fn publish(events: &mpsc::Sender<Event>, known: &mut Set<WorkerId>, record: Keyed) {
     let id = WorkerId::from(record.key);
     let entry = record.value.map(|value| read_worker(id.as_str(), &value));
     let event = match entry {
         Some(Ok(entry)) => {
             known.insert(id);
-            Event::Worker(entry)
+            Event::WorkerUpdated(entry)
         }
         Some(Err(e)) => {
             log::warn!(worker:% = id, error:% = e; "worker's entry names none to use");
             known.remove(&id);
-            Event::NoWorker(id)
+            Event::WorkerRemoved(id)
         }
         None => {
             known.remove(&id);
-            Event::NoWorker(id)
+            Event::WorkerRemoved(id)
         }
     };
     // With the owner gone there is nobody to tell.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -18,7 +18,7 @@
 const BYTES_PER_CORE: f64 = 5_000_000.0;
 
 /// Most partitions of a topic. Each is followed by a read of its own, and a takeover reads all.
-const MAX_PARTS: u32 = 64;
+const MAX_PARTITIONS: u32 = 64;
 
 /// Settings of a node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -117,13 +117,13 @@
     pub lease: Millis,
     /// Time for which a final state can be asked for.
     #[serde(rename = "kept_s", deserialize_with = "from_seconds")]
-    pub kept: Millis,
+    pub retention: Millis,
     /// Time from the signal to stop until the process is killed.
     #[serde(rename = "grace_s", deserialize_with = "from_seconds")]
     pub grace: Millis,
     /// Time that maintenance of an instance takes.
     #[serde(rename = "maintain_s", deserialize_with = "from_seconds")]
-    pub maintaining: Millis,
+    pub maintenance: Millis,
     /// Time for which orders to an instance have to come from one node.
     #[serde(rename = "order_ms", deserialize_with = "from_millis")]
     pub order: Millis,
@@ -186,7 +186,7 @@
             place: e.path().to_string(),
             source: e.into_inner(),
         })?;
-        match settings.fault() {
+        match settings.validate() {
             Some((place, fault)) => Err(SettingsError::Range {
                 path: path.into(),
                 place,
@@ -204,19 +204,19 @@
     }
 
     /// The first field that is out of its range, and what is wrong with it.
-    fn fault(&self) -> Option<(String, &'static str)> {
-        let own = self.own_fault();
+    fn validate(&self) -> Option<(String, &'static str)> {
+        let own = self.validate_own();
         let own = own.map(|(place, fault)| (place.to_owned(), fault));
         let pools = self.policies.pools.fault();
         own.or(pools.map(|(place, fault)| (format!("policies.pools.{place}"), fault)))
     }
 
-    fn own_fault(&self) -> Option<(&'static str, &'static str)> {
+    fn validate_own(&self) -> Option<(&'static str, &'static str)> {
         let times = &self.times;
         let positive = [
             ("times.revoke_ms", times.revoke),
             ("times.lease_ms", times.lease),
-            ("times.kept_s", times.kept),
+            ("times.kept_s", times.retention),
             ("times.grace_s", times.grace),
         ];
         if let Some((place, _)) = positive.iter().find(|(_, t)| t.get() == 0) {
@@ -225,7 +225,7 @@
         if self.node.as_str().is_empty() {
             return Some(("node", "has to be a name"));
         }
-        if !(1..=MAX_PARTS).contains(&self.parts) {
+        if !(1..=MAX_PARTITIONS).contains(&self.parts) {
             return Some(("parts", "has to be from 1 to 64"));
         }
         if self.share.window.get() == 0 {
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -292,7 +292,7 @@
     let times = &shared.settings.times;
     Bounds {
         lease: times.lease.min(LEASE),
-        kept: times.kept,
+        kept: times.retention,
         pace: times.pace,
         stop: times.stop,
         batch: shared
--- a/crates/node/src/topics.rs
+++ b/crates/node/src/topics.rs
@@ -17,7 +17,7 @@
 /// Failure: the store takes one append of a partition at a time. While it is slow, appends of
 /// all fronts to one partition wait for each other for longer than callers do; spread by job
 /// they do not meet, and a job's cancel still follows the job.
-pub(crate) fn part_of(id: JobId, parts: u32) -> u32 {
+pub(crate) fn intake_part(id: JobId, parts: u32) -> u32 {
     (id.get() % u64::from(parts)) as u32
 }
 
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -11,17 +11,17 @@
 use crate::shared::Shared;
 
 /// Where the cell is told of.
-const CELL: &str = "/cell";
+const CELL_PATH: &str = "/cell";
 
 /// Where one job is told of; its identifier follows.
-const JOB: &str = "/cell/jobs/";
+const JOB_PATH: &str = "/cell/jobs/";
 
 /// Answers a request at the metrics address.
 pub(crate) async fn answer(shared: Arc<Shared>, path: String) -> Reply {
-    if path == CELL {
+    if path == CELL_PATH {
         return cell(&shared).await;
     }
-    if let Some(id) = path.strip_prefix(JOB) {
+    if let Some(id) = path.strip_prefix(JOB_PATH) {
         return job(&shared, id).await;
     }
     match shared.metrics.text() {
@@ -32,14 +32,14 @@
 
 async fn cell(shared: &Shared) -> Reply {
     let owner = shared.owner.load_full();
-    let own = match shared.own.load_full() {
+    let own = match shared.local_owner.load_full() {
         Some(own) => own.view().await,
         None => None,
     };
     let config = shared.config.load_full();
     let body = value!({
         "node": shared.settings.node.as_str(),
-        "ready": shared.is_fresh() && !shared.is_stopping(),
+        "ready": shared.is_config_fresh() && !shared.is_stopping(),
         "config": config.map(|c| c.version),
         "config_age_ms": shared.config_age(),
         "owner": owner.as_ref().map(|o| o.node.as_str()),
@@ -53,7 +53,7 @@
     let Ok(id) = id.parse::<JobId>() else {
         return text(StatusCode::BAD_REQUEST, "16 lower-case hexadecimal digits");
     };
-    let Some(own) = shared.own.load_full() else {
+    let Some(own) = shared.local_owner.load_full() else {
         return text(
             StatusCode::SERVICE_UNAVAILABLE,
             "this node does not own the cell",
