--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! HTTP responses to callers.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use rand::Rng;
 use serde_json::json;
 
-/// An answer to a caller.
+/// A response to a caller.
 pub(crate) type Answer = Response<Full<Bytes>>;
 
-/// Least time after which a caller may come back, in seconds: the header has no smaller unit.
+/// Minimum of the `Retry-After` header, in seconds; the header has no smaller unit.
 const MIN_RETRY_AFTER_S: u64 = 1;
 
-/// Longest such time.
+/// Maximum of the `Retry-After` header, in seconds.
 const MAX_RETRY_AFTER_S: u64 = 10;
 
-/// A JSON body with status 200.
+/// A response with status 200 and a JSON body.
 pub(crate) fn ok_json(body: Vec<u8>) -> Answer {
     let mut answer = Response::new(Full::new(Bytes::from(body)));
     let json = HeaderValue::from_static("application/json");
@@ -27,9 +27,10 @@
     answer
 }
 
-/// A refusal or an error, with its code and what happened in particular.
+/// An error response with a result code and details of the error.
 ///
-/// Callers that may come back are told to after `pause`, spread over a second more.
+/// Responses with status 429 or 503 have a `Retry-After` header of `delay` plus a random time of up
+/// to one second.
 pub(crate) fn error_response(code: Code, detail: &str, delay: Duration) -> Answer {
     let body = json!({
         "code": code.number(),
--- a/crates/node/src/appending.rs
+++ b/crates/node/src/appending.rs
@@ -1,4 +1,4 @@
-//! Appends to the store until the outcome is certain.
+//! Appends to the store with retries until the outcome is certain.
 
 use std::time::Duration;
 
@@ -9,29 +9,30 @@
 
 use crate::shared::Shared;
 
-/// Longest time for one answer. Whoever waits for it has given up long before.
+/// Timeout of one attempt. Callers stop waiting long before.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Tries under way at a time.
+/// Maximum number of attempts in flight at a time.
 const MAX_IN_FLIGHT: usize = 3;
 
-/// Pause before an append is tried again that was turned away.
+/// Pause before a retry after the last attempt in flight failed.
 const RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// Times that an append which was surely not done is tried. The store turns calls away when
-/// all nodes together are over its rate, for a moment.
+/// Number of refused attempts after which an append fails, provided that none can have been
+/// executed. The store briefly refuses calls when all nodes together exceed its rate limit.
 const MAX_REFUSALS: u32 = 3;
 
-/// Appends records under a producer's sequence number until it is certain what became of them.
+/// Appends records under a producer's sequence number until the outcome is certain.
 ///
-/// Failure: an answer is lost, or its connection has gone silent, and everything behind it waits
-/// for a time limit that has to suit a store that is slow by a factor of a hundred. The store
-/// does a repeat once, so another try goes out beside the first on a new connection as soon as
-/// an answer is later than answers usually are; whichever answers first decides.
+/// If an answer is lost or its connection is broken, waiting for the timeout would block all later
+/// appends, and the timeout has to be long enough for a store that is slower than usual by a factor
+/// of 100. Therefore, once an answer takes longer than usual, another attempt is sent in parallel
+/// on a new connection, and the first answer decides. This is safe because the store executes
+/// repeated appends of one sequence number only once.
 ///
-/// `in_doubt` is called when a try has failed that may have been carried out.
+/// Calls `in_doubt` when an attempt fails that may have been executed.
 ///
-/// [`AppendError::Refused`] means that no try was or will be carried out; never gives
+/// [`AppendError::Refused`] means that no attempt was or will be executed. Never returns
 /// [`AppendError::Unknown`].
 pub(crate) async fn append(
     shared: &Shared,
@@ -51,7 +52,7 @@
     };
     let mut in_flight = FuturesUnordered::new();
     let mut refused = 0;
-    // A try may be carried out that nobody waits for any more.
+    // Whether an attempt that failed may still be executed.
     let mut uncertain = false;
     loop {
         if in_flight.is_empty() {
--- a/crates/node/src/ask.rs
+++ b/crates/node/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks the cell's owner, wherever it is.
+//! Queries to the cell's owner, on this node or another.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,14 +12,14 @@
 use crate::peer::{HandInAnswer, JobAnswer, PeerLink, QueueAnswer};
 use crate::shared::Shared;
 
-/// Time for one answer of the owner. It answers from memory, so a longer silence is a lost
-/// connection, and another one is worth the try.
+/// Timeout of one query to the owner. The owner answers from memory, so a longer silence means that
+/// the connection is broken, and the query is retried on a new one.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Pause before the owner is looked up again.
+/// Pause before a query is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// What the owner says of a job; `None` if no owner answers within `limit`.
+/// Queries the state of a job; `None` if no owner answers within `limit`.
 pub(crate) async fn job(shared: &Shared, id: JobId, limit: Duration) -> Option<JobAnswer> {
     let deadline = shared.clock.now().after(limit);
     loop {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Number of a queue's jobs that wait; `None` if no owner answers within `limit`.
+/// Number of jobs in a queue that have not started; `None` if no owner answers within `limit`.
 pub(crate) async fn pending(shared: &Shared, queue: &QueueName, limit: Duration) -> Option<u64> {
     let deadline = shared.clock.now().after(limit);
     loop {
@@ -65,8 +65,8 @@
     }
 }
 
-/// What the owner knows of a job, as far as it tells at once, and how long a new one waits; `None`
-/// if no owner answers.
+/// What the owner knows of a job without reading the intake, and how long a new job of this service
+/// would wait; `None` if no owner answers.
 pub(crate) async fn standing(
     shared: &Arc<Shared>,
     id: JobId,
@@ -83,9 +83,10 @@
     answer
 }
 
-/// Hands a job to the owner if one is connected, within `limit`.
+/// Hands in a job to the owner, within `limit`.
 ///
-/// Nothing waits for a connection here: without the owner the front stores the job by itself.
+/// Does not wait for a connection to the owner: if there is none, the front end stores the job in
+/// the intake itself.
 pub(crate) async fn hand_in(shared: &Arc<Shared>, record: Bytes, limit: Duration) -> HandInAnswer {
     let limit = limit.min(shared.accept_rtt.limit());
     let origin = shared.settings.listen.peers;
@@ -107,7 +108,7 @@
     answer.unwrap_or(HandInAnswer::Unknown)
 }
 
-/// The connection to the owner; without one it begins to be made.
+/// Returns the connection to the owner, or starts connecting in the background.
 fn connected_link(shared: &Arc<Shared>) -> Option<Arc<PeerLink>> {
     let owner = shared.owner.load_full()?;
     let known = shared
@@ -125,15 +126,17 @@
     known
 }
 
+/// Drops the connection to the owner and has the ownership read again.
 fn drop_link(shared: &Shared) {
     shared.owner_link.store(None);
     shared.owner_unreachable.notify_one();
 }
 
+/// Returns the connection to the owner, connecting if there is none.
 async fn owner_link(shared: &Shared) -> Option<Arc<PeerLink>> {
     let owner = shared.owner.load_full()?;
     if owner.node == shared.settings.node {
-        // This node owns the cell and is still taking it over.
+        // This node owns the cell but has not finished its takeover.
         return None;
     }
     if let Some(link) = shared
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -1,19 +1,19 @@
-//! Pauses after calls that are turned away, each longer than the one before.
+//! Exponential backoff after refused calls.
 
 use std::time::Duration;
 
 use cactuswheel_model::Time;
 
-/// First pause.
+/// Delay after the first refusal.
 const INITIAL_DELAY: Duration = Duration::from_millis(250);
 
-/// Doublings of the pause at the most.
+/// Maximum number of times that the delay is doubled.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// Pauses after calls that are turned away, each longer than the one before.
+/// Exponential backoff after refused calls.
 ///
-/// Failure: the store is busy, and the owner asks it to record hundreds of orders a second, all
-/// refused; each closes a worker for a moment that its queue needs.
+/// Without it, an owner would ask a busy store to record hundreds of orders to instances per
+/// second. All would be refused, and each would briefly close a worker that its queue needs.
 #[derive(Debug, Default)]
 pub struct Backoff {
     until: Time,
@@ -21,9 +21,10 @@
 }
 
 impl Backoff {
-    /// Calls were turned away; `spread` is drawn from 0 to 1, so that callers come back apart.
+    /// Records a refused call. `spread` is a random number from 0 to 1 that spreads the retries of
+    /// different callers.
     pub fn refused(&mut self, now: Time, spread: f64) {
-        // Those that were under way together count once.
+        // Calls that were in flight together count as one refusal.
         if now < self.until {
             return;
         }
@@ -32,12 +33,12 @@
         self.refused += 1;
     }
 
-    /// A call was taken.
+    /// Records an accepted call, which resets the delay.
     pub fn accepted(&mut self) {
         self.refused = 0;
     }
 
-    /// Whether calls may go out.
+    /// Whether the delay is over, so that calls may be sent.
     pub fn is_elapsed(&self, now: Time) -> bool {
         now >= self.until
     }
--- a/crates/node/src/call_health.rs
+++ b/crates/node/src/call_health.rs
@@ -1,24 +1,24 @@
-//! Whether calls of one kind are answered.
+//! Health of a remote service, judged by whether calls to it are answered.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 use cactuswheel_model::Time;
 
-/// Time without an answer after which whoever is called counts as out of reach: one lost answer or one
-/// refusal says little.
+/// Time without an answer after which the service counts as unreachable. A single lost answer or
+/// refusal is not enough.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(300);
 
-/// Whether calls of one kind, such as those to the store, are answered.
+/// Health of a remote service such as the store, judged by whether calls to it are answered.
 #[derive(Debug, Default)]
 pub struct CallHealth {
-    /// When the first of the newest failures in a row was seen, in milliseconds; 0 if the last
-    /// call was answered.
+    /// Time of the first failure since the last answered call, in milliseconds; 0 if the last call
+    /// was answered.
     failing_since: AtomicU64,
 }
 
 impl CallHealth {
-    /// A call has failed; true if it is the first in a row.
+    /// Records a failed call; returns true if it is the first since the last answered call.
     pub fn failed(&self, now: Time) -> bool {
         let first =
             self.failing_since
@@ -26,13 +26,13 @@
         first.is_ok()
     }
 
-    /// A call was answered; gives for how long calls had failed, if the last one had.
+    /// Records an answered call; returns for how long calls had been failing, if they had.
     pub fn answered(&self, now: Time) -> Option<Duration> {
         let since = self.failing_since.swap(0, Ordering::Relaxed);
         (since != 0).then(|| now.since(Time::new(since)))
     }
 
-    /// For how long calls have failed; zero if the last one was answered.
+    /// For how long calls have been failing; zero if the last call was answered.
     pub fn failing_for(&self, now: Time) -> Duration {
         match self.failing_since.load(Ordering::Relaxed) {
             0 => Duration::ZERO,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Whether calls have failed for so long that callers are served better by other nodes.
+    /// Whether calls have been failing for so long that the service counts as unreachable, and
+    /// other nodes can serve callers better.
     pub fn is_unreachable(&self, now: Time) -> bool {
         self.failing_for(now) > UNREACHABLE_AFTER
     }
--- a/crates/node/src/config_follower.rs
+++ b/crates/node/src/config_follower.rs
@@ -1,4 +1,4 @@
-//! Follows what the operators write.
+//! Follows the operators' records: the configuration, maintenance waves and evacuations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::shared::Shared;
 use crate::topics::OPERATORS;
 
-/// How long a read waits for a record: the configuration is confirmed as often.
+/// How long a read waits for new records. The configuration is confirmed at this interval.
 const READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Time for an answer beyond the wait. A store that is slow still answers in this time.
+/// Timeout of a read, in addition to its wait. A slow store still answers within it.
 const READ_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause after a read that failed.
+/// Pause after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Follows the operators' records until the task is dropped.
@@ -32,19 +32,22 @@
             Err(e) => e,
         };
         if matches!(failure, ReadError::Deleted) {
-            log::info!("operators' records were deleted: reading the newest again");
+            log::info!("operators' records were deleted; reading the newest record of each key");
             continue;
         }
         shared.store_failed();
         if !lost {
             lost = true;
-            log::warn!(error:% = failure, age_ms = shared.config_age(); "configuration lost");
+            log::warn!(
+                error:% = failure, age_ms = shared.config_age();
+                "cannot read configuration; retrying"
+            );
         }
         sleep(RETRY_DELAY).await;
     }
 }
 
-/// Reads the newest records; gives the offset to go on from.
+/// Reads the newest record of each key and returns the offset from which to continue.
 async fn read_newest(shared: &Shared) -> Result<u64, ReadError> {
     let mut items: Vec<Item> = Vec::new();
     let mut end = None;
@@ -56,7 +59,7 @@
             .store
             .newest(OPERATORS, after.as_deref(), limit)
             .await?;
-        // Records that come while the pages are read lie behind the first page's end.
+        // Records written while the pages are read are after the end offset of the first page.
         let from = *end.get_or_insert(page.end);
         shared.store_answered();
         items.extend(page.items);
@@ -68,10 +71,10 @@
     }
 }
 
-/// Takes the newest record of every key.
+/// Applies the newest record of each key.
 ///
-/// An evacuation that is over is not among them, so the set is replaced; and it is in force before
-/// the first configuration lets a takeover begin.
+/// An evacuation that has ended has no record, so the whole set of evacuations is replaced. It is
+/// applied before the configuration, because a takeover starts as soon as there is a configuration.
 fn apply_newest(shared: &Shared, items: Vec<Item>) {
     let zones = items.iter().filter_map(|i| evacuated_zone(&i.key));
     set_evacuated(shared, zones.collect());
@@ -80,6 +83,7 @@
     }
 }
 
+/// Polls for new records, starting at offset `next`, until a read fails.
 async fn follow_from(shared: &Shared, mut next: u64, lost: &mut bool) -> ReadError {
     loop {
         let sent = shared.clock.now();
@@ -96,14 +100,14 @@
         for record in &page.records {
             match Keyed::read(record) {
                 Some(record) => apply(shared, &record),
-                None => log::warn!(offset = page.from; "operators' record without a key"),
+                None => log::warn!(offset = page.from; "ignoring operators' record without a key"),
             }
         }
         if next >= page.end {
             shared.confirm_config(sent);
         }
         if std::mem::take(lost) {
-            log::info!("configuration regained");
+            log::info!("configuration readable again");
         }
     }
 }
@@ -127,12 +131,13 @@
     }
 }
 
-/// Versions only rise in a process's life: an old record that comes late changes nothing.
+/// Replaces the configuration, unless its version is not newer than the current one: an old record
+/// may arrive late.
 fn apply_config(shared: &Shared, value: &[u8]) {
     let config = match read_config(value) {
         Ok(config) => config,
         Err(e) => {
-            log::error!(error:% = e; "configuration is not taken");
+            log::error!(error:% = e; "ignoring invalid configuration");
             return;
         }
     };
@@ -143,18 +148,18 @@
     log::info!(
         version = config.version, before:? = known, queues = config.queues.len() as u64,
         teams = config.teams.len() as u64;
-        "configuration in force"
+        "configuration applied"
     );
     shared.config.store(Some(Arc::new(config)));
 }
 
-/// Replaces the data centres that are evacuated.
+/// Replaces the set of data centres being evacuated.
 fn set_evacuated(shared: &Shared, zones: Set<ZoneName>) {
     let known = shared.evacuated.load();
     if **known == zones {
         return;
     }
-    log::info!(zones:? = zones, before:? = **known; "evacuation of data centres");
+    log::info!(zones:? = zones, before:? = **known; "evacuations changed");
     shared.evacuated.store(Arc::new(zones));
 }
 
@@ -162,7 +167,7 @@
     let wave = match read_wave(value) {
         Ok(wave) => wave,
         Err(e) => {
-            log::error!(error:% = e; "wave is not taken");
+            log::error!(error:% = e; "ignoring invalid maintenance wave");
             return;
         }
     };
@@ -174,7 +179,7 @@
     log::info!(
         wave = wave.number, instances = wave.instances.len() as u64, cap = wave.cap,
         within_ms = wave.within.get();
-        "wave of maintenance"
+        "maintenance wave added or changed"
     );
     waves.retain(|w| w.number != wave.number);
     waves.push(wave);
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a node cannot start.
+//! Errors at the startup of a node.
 
 use crate::SettingsError;
 
-/// Why a node cannot start.
+/// An error at the startup of a node.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The settings cannot be used.
+    /// The settings file cannot be loaded.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address cannot be listened on, or a signal not waited for.
+    /// Binding an address or installing a signal handler failed.
     #[error("cannot start: {0}")]
     Io(#[from] std::io::Error),
-    /// The log was set up before.
+    /// A logger was already installed.
     #[error("cannot start the log: {0}")]
     Log(#[from] log::SetLoggerError),
-    /// The metrics cannot be set up.
+    /// The metrics exporter cannot be set up.
     #[error("cannot start the metrics: {0}")]
     Metrics(#[from] opentelemetry_sdk::error::OTelSdkError),
 }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the cell.
+//! Events that the cell's owner processes.
 
 use std::net::SocketAddr;
 
@@ -17,66 +17,67 @@
 use crate::peer::{HandInAnswer, JobAnswer, QueueAnswer};
 use crate::relay_request::{Report, Reports};
 
-/// What happens to the cell.
+/// An event that the cell's owner processes.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A front hands a job in.
+    /// A front end hands in a job.
     HandIn(HandInRequest),
-    /// Records of the intake.
+    /// Records read from the intake.
     Intake(IntakePage),
-    /// A read of a partition of the intake for the sake of a question is over.
+    /// A read of this intake partition for a query has finished.
     IntakeReadDone(u32),
-    /// A worker's entry.
+    /// A worker's roster entry, new or changed.
     WorkerUpdated(WorkerEntry),
-    /// A worker is listed no more.
+    /// A worker is no longer in the roster.
     WorkerRemoved(WorkerId),
-    /// Every worker's entry was told.
+    /// The entry of every worker in the roster has been sent.
     RosterComplete,
-    /// What became of an order to a worker.
+    /// Outcome of an order to a worker.
     Report(Report),
-    /// What a relay reports.
+    /// Outcomes of orders, reported by a relay.
     RelayReports(Reports, oneshot::Sender<bool>),
     /// A node offers to relay orders.
     Offer(Offer, oneshot::Sender<Reply>),
-    /// A relay takes no orders any more, and why.
+    /// A relay no longer takes orders, and the reason.
     RelayLost(NodeName, &'static str),
-    /// A batch is in the journal.
+    /// A batch was written to the journal.
     Appended(Mark),
-    /// A newer owner writes the journal.
+    /// The journal is fenced by a newer owner.
     Deposed,
-    /// The platform's list of instances, and when the request for it was sent.
+    /// The platform's list of instances, and when it was requested.
     Instances(Vec<Instance>, Time),
-    /// What became of an order to an instance, with the worker on it.
+    /// Outcome of an order to an instance, with the worker on it.
     InstanceOrdered(InstanceOrder, Option<WorkerId>, InstanceOutcome),
-    /// The policy service's answer.
+    /// Answer of the policy service; `None` if it failed.
     PolicyAnswer(StepId, Option<Vec<(WorkerId, String)>>),
-    /// Somebody asks for something.
+    /// A query to the owner.
     Query(Query),
 }
 
-/// A job that a front hands in.
+/// A job that a front end hands in.
 #[derive(Debug)]
 pub(crate) struct HandInRequest {
-    /// Its submission.
+    /// The encoded submission.
     pub(crate) record: Bytes,
-    /// The front, which keeps what the job runs.
+    /// Address of the front end, which keeps the job spec.
     pub(crate) origin: SocketAddr,
-    /// Until then the front waits for the answer.
+    /// When the front end stops waiting for the answer.
     pub(crate) until: Time,
     pub(crate) reply: oneshot::Sender<HandInAnswer>,
 }
 
-/// What is asked of the owner.
+/// A query to the owner.
 #[derive(Debug)]
 pub(crate) enum Query {
-    /// Somebody asks for a job.
+    /// The state of a job.
     Job(JobId, oneshot::Sender<JobAnswer>),
-    /// A front asks for a job before it refuses it.
+    /// What the owner knows of a job, and how long a new one would wait; a front end asks this
+    /// before it refuses the job.
     Standing(JobId, ServiceName, oneshot::Sender<(Standing, Waits)>),
-    /// An operator asks for the cell.
+    /// The state of the cell, for operators.
     CellView(oneshot::Sender<Value>),
-    /// An operator asks for a job.
+    /// The state of a job, for operators.
     JobView(JobId, oneshot::Sender<Option<Value>>),
-    /// Somebody asks for a queue.
+    /// The number of a queue's jobs that have not started.
     Queue(QueueName, oneshot::Sender<QueueAnswer>),
 }
--- a/crates/node/src/expiry.rs
+++ b/crates/node/src/expiry.rs
@@ -1,4 +1,4 @@
-//! How long an ownership holds without a renewal.
+//! Expiry of an ownership that is not renewed.
 
 use std::time::Duration;
 
@@ -6,35 +6,38 @@
 
 use crate::link_rate::LinkRate;
 
-/// Least time without a renewal after which the ownership may be claimed. Three renewals have to
-/// be missed, or one answer lost and another renewal with it.
+/// Minimum time without a renewal after which the ownership may be claimed. It is long enough that
+/// three renewals must be missed, or the answer to one and the renewal after it.
 pub(crate) const MIN_EXPIRY: Duration = Duration::from_millis(800);
 
-/// Times as long as its last renewal took that an ownership holds at least.
+/// The expiry is at least the duration of the last renewal times this factor.
 ///
-/// Failure: the store turns slow by a factor of a hundred, a renewal and the read that tells
-/// others of it take longer than the ownership holds, and it goes from node to node.
+/// Otherwise, when the store becomes slower by a factor of 100, a renewal plus the read by which
+/// other nodes learn of it would take longer than the expiry, and the ownership would pass from
+/// node to node.
 const RENEWAL_FACTOR: u32 = 4;
 
-/// Largest answer of the store that a renewal may have to wait behind on the node's own link, in
-/// bytes: a page of five hundred records.
+/// Size of the largest store response that can delay a renewal on the node's own link, in bytes: a
+/// page of 500 records.
 const MAX_PAGE_BYTES: usize = 320 << 10;
 
-/// Time without a renewal after which an ownership may be claimed of a node with such a link.
+/// Minimum expiry of the ownership of a node with this link.
 ///
-/// Failure: an owner on a narrow link reads what earlier ones have left, its renewals wait behind
-/// the pages, and the ownership is claimed before they are through; the next node fares the
-/// same, and nothing runs any more. Behind one page a renewal still comes in time.
+/// While an owner on a slow link reads the state of earlier owners, its renewals queue behind the
+/// pages. With the expiry for a fast link, the ownership would be claimed before they arrive; the
+/// same would happen to the next node, and no jobs would run. With this expiry a renewal that
+/// queues behind one page still arrives in time.
 pub(crate) fn min_expiry_for(link: LinkRate) -> Duration {
     MIN_EXPIRY + page_time(link)
 }
 
-/// Time for which an ownership holds whose last renewal took that long; at least `least`.
+/// Expiry of an ownership whose last renewal took `renewal`; at least `least`.
 pub fn expiry_for(least: Duration, renewal: Duration) -> Duration {
     (renewal * RENEWAL_FACTOR).min(MAX_EXPIRY).max(least)
 }
 
-/// Time that a large answer of the store takes on such a link, as far as anything waits for it.
+/// Time to transfer the largest store response over the link, limited so that the minimum expiry
+/// does not exceed the maximum.
 pub(crate) fn page_time(link: LinkRate) -> Duration {
     link.transfer_time(MAX_PAGE_BYTES)
         .min(MAX_EXPIRY - MIN_EXPIRY)
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests.
+//! The front end: serves callers' requests.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -29,49 +29,50 @@
 use crate::shared::Shared;
 use crate::topics::IntakeKey;
 
-/// Pause after a failed `accept`, so that running out of descriptors does not spin a core.
+/// Pause after a failed `accept`, so that running out of file descriptors does not cause a busy
+/// loop.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time in which a caller has to send the head of a request.
+/// Timeout for receiving the headers of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Part of a caller's time that is left for the way of the answer.
+/// Part of a caller's deadline that is reserved for sending the response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
-/// Longest wait for an owner of the cell. A takeover takes about two seconds; a caller that
-/// would wait longer asks again in its own time.
+/// Maximum wait for the cell's owner to answer. A takeover takes about two seconds; a caller that
+/// is willing to wait longer retries.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time that a caller has if it names none.
+/// Timeout of a request without a deadline header.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without a request after which a stopping node closes a caller's connection.
+/// Idle time after which a stopping node closes a caller's connection.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Largest record of the store, in bytes.
+/// Maximum size of a record in the store, in bytes.
 const MAX_RECORD: usize = 256 << 10;
 
-/// A node's front.
+/// The front end of a node.
 pub(crate) struct Front {
     pub(crate) shared: Arc<Shared>,
     pub(crate) intake: Intake,
-    /// Requests that have no answer yet.
+    /// Number of requests in flight.
     pub(crate) in_flight: AtomicUsize,
 }
 
-/// A refusal of one request.
+/// An error response to a request.
 struct Refusal {
     code: Code,
     detail: String,
-    /// When to come back.
+    /// How long the caller should wait before a retry; zero for the default.
     retry_after: Duration,
 }
 
-/// What a request is about.
+/// The queue that a request addresses, and on whose behalf.
 struct Target<'a> {
     queue: &'a Queue,
     team: Option<TeamName>,
-    /// Time that the caller waits.
+    /// How long the caller waits for the response.
     max_wait: Duration,
 }
 
@@ -92,7 +93,7 @@
     }
 }
 
-/// Accepts callers until `stop`, each on a task that `open` tracks.
+/// Accepts callers' connections until `stop` is cancelled; `open` tracks the connection tasks.
 pub(crate) async fn serve(
     listener: TcpListener,
     front: Arc<Front>,
@@ -109,7 +110,7 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        // Small answers would otherwise wait for the caller's delayed acknowledgement.
+        // Without this, small responses wait for the caller's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         open.spawn(serve_caller(stream, front.clone(), stop.clone()));
     }
@@ -129,13 +130,13 @@
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(conn);
     tokio::select! {
-        // A caller that breaks off has no one left to tell.
+        // The connection is closed or broken, so an error cannot be sent to the caller.
         _ = conn.as_mut() => return,
         () = stop.cancelled() => {}
     }
-    // Failure: a planned stop closes an idle connection while a request is on its way; the
-    // caller sees it cut. The answer to a request that still comes closes the connection, and
-    // one on which nothing comes for a while is closed last.
+    // Closing an idle connection at once would cut off a request that is already on its way. While
+    // the node is stopping, each response closes its connection, and a connection is closed without
+    // a response only when it has been idle for `IDLE_TIMEOUT`.
     loop {
         let before = count.load(Ordering::Relaxed);
         tokio::select! {
@@ -160,7 +161,7 @@
             }
         };
         self.in_flight.fetch_sub(1, Ordering::AcqRel);
-        // A caller that comes back on the same connection would come back to this node.
+        // Otherwise the caller would send its next request to this node on the same connection.
         if !self.shared.is_ready() {
             let close = HeaderValue::from_static("close");
             answer.headers_mut().insert(CONNECTION, close);
@@ -172,7 +173,7 @@
 
     async fn route(&self, request: Request<Incoming>) -> Result<Answer, Refusal> {
         let Some(config) = self.shared.config.load_full() else {
-            return Err(Refusal::new(Code::NotReady, "no configuration yet"));
+            return Err(Refusal::new(Code::NotReady, "configuration not loaded yet"));
         };
         let path = request.uri().path().to_owned();
         let host = host_name(&request);
@@ -190,17 +191,23 @@
             return self.pending(&request, &target).await;
         }
         let Ok(id) = rest.parse::<JobId>() else {
-            return Err(Refusal::new(Code::BadRequest, "the path names no job id"));
+            return Err(Refusal::new(
+                Code::BadRequest,
+                "the path does not contain a valid job id",
+            ));
         };
         match *request.method() {
             Method::POST => self.submit(request, &config, &target, id).await,
             Method::GET => self.state(&target, id).await,
             Method::DELETE => self.cancel(&target, id).await,
-            _ => Err(Refusal::new(Code::BadRequest, "POST, GET or DELETE")),
+            _ => Err(Refusal::new(
+                Code::BadRequest,
+                "method must be POST, GET or DELETE",
+            )),
         }
     }
 
-    /// The team whose key came with a request; `None` on a queue that takes no key.
+    /// Returns the team that the request's key belongs to; `None` on a public queue.
     fn authenticate(
         &self,
         config: &FleetConfig,
@@ -222,22 +229,24 @@
                 log::info!(
                     job = job, queue:% = queue.name, version = config.version,
                     age_ms = self.shared.config_age();
-                    "refused: unknown key"
+                    "request refused: unknown key"
                 );
                 Err(Refusal::new(Code::BadKey, ""))
             }
         }
     }
 
-    /// Failure: a node that the store turns away goes on accepting a key that was withdrawn.
-    /// Without a confirmation for most of the bound it accepts none, and says that it is not
-    /// ready.
+    /// Refuses the request if the configuration is stale.
+    ///
+    /// Otherwise a node that cannot reach the store would go on accepting revoked keys. A node
+    /// whose configuration was not confirmed for most of the revocation bound accepts no keys and
+    /// reports that it is not ready.
     fn check_fresh(&self, job: &str) -> Result<(), Refusal> {
         if self.shared.is_config_fresh() {
             return Ok(());
         }
         let age = self.shared.config_age();
-        log::info!(job = job, age_ms = age; "refused: configuration not confirmed");
+        log::info!(job = job, age_ms = age; "request refused: configuration is stale");
         Err(Refusal::new(
             Code::Fenced,
             format!("configuration last confirmed {age} ms ago"),
@@ -269,9 +278,12 @@
         self.shared.specs().insert(&sub.spec);
         let record = encode(&sub);
         if record.len() > MAX_RECORD {
-            return Err(Refusal::new(Code::BodyTooLarge, "the job's record"));
+            return Err(Refusal::new(
+                Code::BodyTooLarge,
+                "the encoded job is too large",
+            ));
         }
-        // The key may have been withdrawn while the body came in.
+        // The key may have been revoked while the body was being received.
         if target.team.is_some() {
             self.check_fresh(&id.to_string())?;
         }
@@ -285,15 +297,18 @@
 
     fn not_stored(&self, id: JobId, what: &str, error: NotStored) -> Refusal {
         let age = self.shared.config_age();
-        log::warn!(job:% = id, what = what, outcome:? = error, age_ms = age; "not stored");
+        log::warn!(job:% = id, what = what, outcome:? = error, age_ms = age; "request not stored");
         match error {
             NotStored::Refused => Refusal::new(Code::StoreAway, ""),
             NotStored::NoOwner(excess) => {
-                let detail = format!("nobody takes jobs, {} ms too long", excess.as_millis());
+                let detail = format!(
+                    "no owner has accepted jobs for {} ms too long",
+                    excess.as_millis()
+                );
                 Refusal::new(Code::NoScheduler, detail).with_retry_after(excess)
             }
             NotStored::Overloaded(excess) => {
-                let detail = format!("it would begin {} ms too late", excess.as_millis());
+                let detail = format!("the job would start {} ms too late", excess.as_millis());
                 Refusal::new(Code::QueueFull, detail).with_retry_after(excess)
             }
             NotStored::Doubt => Refusal::new(Code::StoreDoubt, ""),
@@ -306,7 +321,7 @@
                 Ok(ok_json(state_body(state)))
             }
             Some(JobAnswer::Known { .. } | JobAnswer::Unknown) => {
-                log::info!(job:% = id, queue:% = target.queue.name; "no such job");
+                log::info!(job:% = id, queue:% = target.queue.name; "job not found");
                 Err(Refusal::new(Code::NoJob, ""))
             }
             Some(JobAnswer::NotOwner) | None => Err(self.no_owner(&id.to_string())),
@@ -324,7 +339,7 @@
         }
         let spent = self.shared.clock.now().since(start);
         let left = target.max_wait.saturating_sub(spent + RESPONSE_MARGIN);
-        // A record without a value would drop its key.
+        // A record without a value would delete the key.
         let record = vec![1];
         match self
             .intake
@@ -342,7 +357,10 @@
         target: &Target<'_>,
     ) -> Result<Answer, Refusal> {
         if *request.method() != Method::GET {
-            return Err(Refusal::new(Code::BadRequest, "a job id is missing"));
+            return Err(Refusal::new(
+                Code::BadRequest,
+                "the path does not contain a job id",
+            ));
         }
         match ask::pending(&self.shared, &target.queue.name, owner_timeout(target)).await {
             Some(pending) => Ok(ok_json(pending_body(pending))),
@@ -353,12 +371,13 @@
     fn no_owner(&self, what: &str) -> Refusal {
         let owner = self.shared.owner.load();
         let epoch = owner.as_ref().map_or(0, |o| o.epoch);
-        log::warn!(job = what, epoch = epoch; "refused: no owner answers");
+        log::warn!(job = what, epoch = epoch; "request refused: the owner does not answer");
         Refusal::new(Code::NoOwner, "")
     }
 }
 
-/// A team sees its own jobs; those of a queue without keys belong to nobody.
+/// Whether the caller may see a job of `team`. A team sees only its own jobs; jobs of public queues
+/// have no team and are visible to everyone.
 fn may_see(target: &Target<'_>, team: Option<&TeamName>) -> bool {
     target.team.is_none() || team.is_none() || target.team.as_ref() == team
 }
@@ -392,7 +411,7 @@
         Ok(Err(e)) => Err(Refusal::new(Code::BadRequest, e.to_string())),
         Err(_) => Err(Refusal::new(
             Code::BadRequest,
-            "the body did not come in time",
+            "timed out while receiving the body",
         )),
     }
 }
--- a/crates/node/src/hand_ins.rs
+++ b/crates/node/src/hand_ins.rs
@@ -1,4 +1,4 @@
-//! Jobs that fronts hand to the owner, until the journal holds them.
+//! Jobs that front ends handed in to the owner and that are not in the journal yet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,18 @@
 use crate::peer::HandInAnswer;
 use crate::shared::Shared;
 
-/// Jobs that may wait for the batch under way; more only pile up while the store is away.
+/// Maximum number of jobs waiting for the journal batch in flight. More pile up only while the
+/// store is unreachable.
 const MAX_WAITING: usize = 1_024;
 
-/// Jobs that fronts hand to the owner, until the journal holds them.
+/// Jobs that front ends handed in to the owner and that are not in the journal yet.
 pub(crate) struct HandIns {
     shared: Arc<Shared>,
-    /// The cell knows nothing of these: they can be refused.
+    /// Jobs that were not passed to the cell yet, and can still be refused.
     waiting: Vec<(Submission, HandInRequest)>,
-    /// Whom to tell when the journal holds a job.
+    /// Front ends waiting until a job is in the journal.
     replies: Map<JobId, Vec<oneshot::Sender<HandInAnswer>>>,
-    /// Which fronts have accepted jobs of late.
+    /// Front ends that hold the specs of recent jobs.
     origins: SpecOrigins,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Takes a job, unless it surely cannot begin in time.
+    /// Queues a job, unless it certainly cannot start in time.
     pub(crate) fn take(&mut self, cell: &Cell, request: HandInRequest) {
         if self.waiting.len() >= MAX_WAITING {
             return answer(request.reply, HandInAnswer::Refused);
@@ -46,7 +47,7 @@
         let sub = match decode::<Submission>(&request.record) {
             Ok(sub) => sub,
             Err(e) => {
-                log::error!(error:% = e; "submission cannot be read");
+                log::error!(error:% = e; "cannot decode submission");
                 return answer(request.reply, HandInAnswer::Refused);
             }
         };
@@ -56,10 +57,11 @@
         self.waiting.push((sub, request));
     }
 
-    /// Hands the cell what waits, unless a batch is under way.
+    /// Passes the waiting jobs to the cell, unless a journal batch is in flight.
     ///
-    /// Failure: the store is away, and callers wait for their whole time to hear that nothing
-    /// was stored. What waits behind a batch that takes too long is refused at once.
+    /// Jobs that wait behind a batch that takes too long are refused at once. Otherwise, while the
+    /// store is unreachable, callers would wait until their deadline to learn that nothing was
+    /// stored.
     pub(crate) fn hand_in(&mut self, cell: &mut Cell) {
         if self.waiting.is_empty() {
             return;
@@ -83,7 +85,7 @@
         }
         if refused > 0 {
             let ms = writing.as_millis() as u64;
-            log::warn!(jobs = refused, writing_ms = ms; "hand-ins refused: the journal is late");
+            log::warn!(jobs = refused, writing_ms = ms; "jobs refused: journal batch is overdue");
         }
     }
 
@@ -101,12 +103,12 @@
         }
     }
 
-    /// Which fronts have accepted jobs of late.
+    /// Front ends that hold the specs of recent jobs.
     pub(crate) fn origins(&mut self) -> &mut SpecOrigins {
         &mut self.origins
     }
 
-    /// The journal holds these jobs.
+    /// Notifies the front ends that these jobs are in the journal.
     pub(crate) fn accepted(&mut self, jobs: &[JobId]) {
         for reply in jobs.iter().flat_map(|id| self.replies.remove(id)).flatten() {
             answer(reply, HandInAnswer::Accepted);
@@ -114,7 +116,7 @@
     }
 }
 
-/// A front that has stopped waiting needs no answer.
+/// Sends an answer to a front end, which may have stopped waiting.
 fn answer(reply: oneshot::Sender<HandInAnswer>, answer: HandInAnswer) {
     let _ = reply.send(answer);
 }
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -1,4 +1,5 @@
-//! Puts what this front accepts into the store: one append at a time, with all that waits.
+//! Stores the submissions and cancels that this front end accepts. Each partition has one append in
+//! flight at a time, and each append carries all records waiting at that moment.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -19,50 +20,53 @@
 use crate::shared::Shared;
 use crate::topics::{IntakeKey, intake, intake_part};
 
-/// Records that may wait. A front takes some dozens a second; more only pile up while the store
-/// is away, and are refused then.
+/// Maximum number of records waiting for a partition. A front end accepts a few dozen per second;
+/// more pile up only while the store is unreachable, and are then refused.
 const MAX_QUEUED: usize = 1_024;
 
-/// Largest append, in bytes.
+/// Size from which an append takes no further records, in bytes.
 const MAX_APPEND_BYTES: usize = 512 << 10;
 
-/// Longest time without an answer after which an append is in doubt: a store that is slow by a
-/// factor of a hundred answers before.
+/// Maximum time without an answer until an append counts as in doubt, that is, its outcome as
+/// unknown. A store that is slower than usual by a factor of 100 still answers sooner.
 const MAX_DOUBT_TIMEOUT: Duration = Duration::from_millis(1_100);
 
-/// Times the usual limit for an answer after which an append is in doubt all the same.
+/// Number of usual answer timeouts after which an append counts as in doubt, if that is sooner.
 ///
-/// Failure: the store is away, and what comes in waits a second to hear that. Of a store that
-/// answers in milliseconds three limits without an answer say enough.
+/// Otherwise, while the store is unreachable, each request would wait a second before it is
+/// refused. For a store that usually answers within milliseconds, three timeouts without an answer
+/// are sufficient evidence.
 const DOUBT_RTT_FACTOR: u32 = 3;
 
-/// Time for which an append may be in doubt before what comes after it is refused.
+/// How long an append may be in doubt before the records queued behind it are refused.
 const MAX_DOUBT: Duration = Duration::from_millis(250);
 
-/// Time for which an append may be under way before what waits behind it is refused.
+/// How long an append may be in flight before the records queued behind it are refused.
 pub(crate) fn stuck_timeout(shared: &Shared) -> Duration {
     doubt_timeout(shared) + MAX_DOUBT
 }
 
-/// Time without an answer after which an append is in doubt.
+/// Time without an answer after which an append counts as in doubt.
 fn doubt_timeout(shared: &Shared) -> Duration {
     MAX_DOUBT_TIMEOUT.min(shared.append_rtt.limit() * DOUBT_RTT_FACTOR)
 }
 
-/// Why a record is not known to be in the store.
+/// Why a record is not known to be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NotStored {
-    /// It is not there and never will be.
+    /// It was not stored and never will be.
     Refused,
-    /// The same: it would begin too late, by so much.
+    /// It was not stored and never will be, because the job would start too late by this much.
     Overloaded(Duration),
-    /// The same: nobody has taken jobs for so long that it would begin too late, by so much.
+    /// It was not stored and never will be: no owner has accepted jobs for so long that the job
+    /// would start too late by this much.
     NoOwner(Duration),
-    /// It may be there, now or later.
+    /// The outcome is unknown: it may be stored already, or be stored later.
     Doubt,
 }
 
-/// Why a job is refused here, as far as this front knows what it would wait for.
+/// Decides whether to refuse a job without asking the owner, from the waiting times that this front
+/// end knows of.
 fn early_refusal(shared: &Shared, now: Time, slack: Slack) -> Option<NotStored> {
     if let Some(excess) = shared.overload.excess(now, slack) {
         return Some(NotStored::Overloaded(excess));
@@ -72,10 +76,10 @@
     outage_excess(outage, usual, slack).map(NotStored::NoOwner)
 }
 
-/// Time in which a node takes the cell over once it may claim it, with little to read.
+/// Usual duration of a takeover with little state to read, from the expiry of the ownership.
 const TAKEOVER_TIME: Duration = Duration::from_millis(1_500);
 
-/// Where a record is on its way.
+/// State of a record: queued, part of an append, or withdrawn by its caller.
 #[derive(Debug, Default)]
 struct Stage(AtomicU8);
 
@@ -89,24 +93,25 @@
     reply: oneshot::Sender<Result<(), NotStored>>,
 }
 
-/// Puts records into the store.
+/// Appends records to the intake topic in the store.
 #[derive(Debug)]
 pub(crate) struct Intake {
-    /// One for each partition.
+    /// One queue per partition.
     partitions: Vec<PartitionQueue>,
 }
 
-/// What goes into one partition.
+/// Queue of the records to be appended to one partition.
 #[derive(Debug)]
 struct PartitionQueue {
     queue: mpsc::Sender<Entry>,
-    /// Since when the append under way is in doubt, in milliseconds; 0 if it is not.
+    /// Since when the append in flight is in doubt, in milliseconds; 0 if it is not.
     doubt_since: Arc<AtomicU64>,
     shared: Arc<Shared>,
 }
 
 impl Intake {
-    /// Starts the appending tasks; `life` tells this process's appends from an earlier one's.
+    /// Starts the append tasks. `life` distinguishes this process's appends from those of earlier
+    /// processes of the node.
     pub(crate) fn start(shared: &Arc<Shared>, life: u64) -> Self {
         let parts = 0..shared.settings.parts;
         let partitions = parts.map(|part| PartitionQueue::start(shared.clone(), life, part));
@@ -115,8 +120,8 @@
         }
     }
 
-    /// Accepts a job: by the owner, whose journal then holds it together with what is planned of
-    /// it, or in the intake if the owner does not answer.
+    /// Accepts a job: hands it in to the owner, which writes it to the journal together with its
+    /// scheduling state, or stores it in the intake if the owner does not answer.
     pub(crate) async fn accept(
         &self,
         shared: &Arc<Shared>,
@@ -132,16 +137,16 @@
         if let Some(slack) = slack
             && let Some(refusal) = early_refusal(shared, start, slack)
         {
-            // It may be a repeat of a job that was accepted before.
+            // The request may repeat one for a job that was already accepted.
             let Some((standing, waits)) = ask::standing(shared, id, sub.service.clone()).await
             else {
                 return Err(refusal);
             };
-            // What was told before may be over sooner than it said.
+            // The waits known so far may have become shorter than the owner predicted.
             shared.overload.learn(shared.clock.now(), waits);
             match standing {
                 Standing::Stored => return Ok(()),
-                // What becomes of it shows when it is handed in again.
+                // Handing it in again returns its outcome.
                 Standing::Pending => {}
                 Standing::Unknown => {
                     if let Some(excess) = waits.excess(slack) {
@@ -172,13 +177,13 @@
             .store(IntakeKey::Submitted(id), record.to_vec(), left)
             .await;
         match (stored, handed) {
-            // The owner may accept it yet.
+            // The owner may still accept the job.
             (Err(_), HandInAnswer::Unknown) => Err(NotStored::Doubt),
             (stored, _) => stored,
         }
     }
 
-    /// Stores a record of a job; certain when it returns without an error.
+    /// Stores a record of a job. When it returns `Ok`, the record is durable.
     pub(crate) async fn store(
         &self,
         key: IntakeKey,
@@ -210,8 +215,8 @@
         }
     }
 
-    /// A record that waits behind an append in doubt is taken back, so that its caller hears at
-    /// once that nothing was done.
+    /// Appends a record. A record that waits behind an append in doubt is withdrawn, so that its
+    /// caller learns at once that nothing was stored.
     async fn store(&self, record: Keyed, limit: Duration) -> Result<(), NotStored> {
         if self.is_stuck() {
             return Err(NotStored::Refused);
@@ -248,12 +253,12 @@
 }
 
 impl Stage {
-    /// The record goes into an append; false if its caller has left.
+    /// Marks the record as part of an append; false if its caller has withdrawn it.
     fn begin_append(&self) -> bool {
         self.transition(IN_APPEND)
     }
 
-    /// The caller leaves; false if the record is in an append already.
+    /// Withdraws the record; false if it is already part of an append.
     fn withdraw(&self) -> bool {
         self.transition(WITHDRAWN)
     }
@@ -292,13 +297,13 @@
             let records: Vec<Keyed> = batch.iter().map(|e| e.record.clone()).collect();
             let outcome = self.append(&records).await;
             for entry in batch {
-                // A caller that has left needs no answer.
+                // The caller may have stopped waiting.
                 let _ = entry.reply.send(outcome);
             }
         }
     }
 
-    /// Appends until the outcome is certain.
+    /// Appends records, retrying until the outcome is certain.
     async fn append(&mut self, records: &[Keyed]) -> Result<(), NotStored> {
         let producer = Producer {
             name: self.name.clone(),
@@ -333,11 +338,17 @@
             }
             Err(AppendError::Refused(status)) => {
                 self.shared.store_failed();
-                log::warn!(records = records.len() as u64, status = status; "intake refused");
+                log::warn!(
+                    records = records.len() as u64, status = status;
+                    "store refused append to intake"
+                );
                 Err(NotStored::Refused)
             }
             Err(error) => {
-                log::error!(error:% = error, seq = self.seq; "intake lost count");
+                log::error!(
+                    error:% = error, seq = self.seq;
+                    "append to intake failed; continuing under a new producer name"
+                );
                 self.restart_sequence();
                 Err(NotStored::Doubt)
             }
@@ -353,10 +364,13 @@
         if before.is_err() {
             return;
         }
-        log::warn!(part = self.part.part, seq = self.seq; "intake in doubt");
+        log::warn!(
+            part = self.part.part, seq = self.seq;
+            "append to intake in doubt: the store does not answer"
+        );
     }
 
-    /// Goes on under another name, whose sequence starts afresh.
+    /// Continues under a new producer name, whose sequence numbers start at 1.
     fn restart_sequence(&mut self) {
         self.name.push('x');
         self.seq = 1;
--- a/crates/node/src/intake_follower.rs
+++ b/crates/node/src/intake_follower.rs
@@ -1,4 +1,4 @@
-//! Reads back what fronts have accepted, for the cell's owner.
+//! Reads the intake for the cell's owner: the submissions and cancels that front ends stored.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +13,24 @@
 use crate::shared::Shared;
 use crate::topics::intake;
 
-/// How long a read of the intake waits for a record.
+/// How long a read of the intake waits for new records.
 const READ_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Time for an answer beyond the wait.
+/// Timeout of a read, in addition to its wait.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause after a read that failed.
+/// Pause after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What a read of one partition of the intake has brought.
+/// Result of a read of one partition of the intake.
 #[derive(Debug)]
 pub(crate) struct IntakePage {
     pub(crate) part: u32,
     pub(crate) records: Vec<Keyed>,
-    /// Offset up to which every record was read.
+    /// Offset of the next record to read.
     pub(crate) next: u64,
-    /// When the read was sent, if it reached the partition's end.
+    /// When the read was sent, if it reached the end of the partition: every record stored before
+    /// then is known.
     pub(crate) complete_at: Option<Time>,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Reads a partition of the intake once, from `from` on, for the sake of a question.
+/// Reads a partition of the intake once, starting at offset `from`, to answer a query.
 pub(crate) async fn read_intake(
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
@@ -61,16 +62,16 @@
             let read = Event::Intake(IntakePage::new(part, &page, sent));
             let _ = events.send(read).await;
         }
-        // Whoever asks on hears that nobody knows, after its own patience.
+        // The query stays pending until another read succeeds or its caller times out.
         Err(e) => {
-            log::info!(part = part, error:% = e; "intake not read for a question");
+            log::info!(part = part, error:% = e; "cannot read intake for a query");
             sleep(RETRY_DELAY).await;
         }
     }
     let _ = events.send(Event::IntakeReadDone(part)).await;
 }
 
-/// Follows a partition of the intake until nobody takes its records any more.
+/// Polls a partition of the intake, starting at offset `next`, until the owner is gone.
 pub(crate) async fn follow_intake(
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
@@ -95,7 +96,7 @@
             Err(ReadError::Deleted) => next = reread(&shared, &events, part, next).await,
             Err(e) => {
                 if !std::mem::replace(&mut lost, true) {
-                    log::warn!(part = part, error:% = e; "intake lost");
+                    log::warn!(part = part, error:% = e; "cannot read intake; retrying");
                 }
                 sleep(RETRY_DELAY).await;
             }
@@ -103,9 +104,15 @@
     }
 }
 
-/// The records between were deleted: the newest of each key has all that matters.
+/// Reads the newest record of each key and returns the offset from which to continue.
+///
+/// Used when records that were not read yet were deleted. The newest record of each key is enough,
+/// as intake records never change.
 async fn reread(shared: &Shared, events: &mpsc::Sender<Event>, part: u32, from: u64) -> u64 {
-    log::warn!(part = part, from = from; "intake records were deleted: reading the newest again");
+    log::warn!(
+        part = part, from = from;
+        "intake records were deleted; reading the newest record of each key"
+    );
     let mut after: Option<String> = None;
     let mut end = None;
     let limit = READ_TIMEOUT + page_time(shared.settings.link);
@@ -114,7 +121,7 @@
         let page = match page.await {
             Ok(page) => page,
             Err(e) => {
-                log::info!(error:% = e; "intake cannot be read again yet");
+                log::info!(error:% = e; "cannot read the newest intake records; retrying");
                 return from;
             }
         };
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! One process of the system on the platform: sockets, clocks and tasks around the pure parts.
+//! A node process: the sockets, clocks and tasks around the pure scheduling crates.
 //!
-//! Every node is a front for callers and follows the configuration. One of them at a time owns
-//! the cell: it schedules, and gives workers and instances their orders. Nothing is kept here;
-//! what must last goes through the platform's store.
+//! Every node serves callers' requests and follows the configuration. One node at a time owns the
+//! cell: it schedules jobs and sends orders to workers and instances. A node keeps no state on
+//! disk; all durable state is in the platform's store.
 
 mod answer;
 mod appending;
--- a/crates/node/src/link_rate.rs
+++ b/crates/node/src/link_rate.rs
@@ -1,4 +1,4 @@
-//! The rate of a node's network link.
+//! Rate of a node's network link.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,28 +6,28 @@
 
 use serde::{Deserialize, Deserializer};
 
-/// Bytes a second in a megabit a second.
+/// Bytes per second in 1 Mbit/s.
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// Rate of a network link, in megabits a second.
+/// Rate of a network link, in Mbit/s.
 ///
 /// Invariant: positive and finite.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkRate(f64);
 
-/// Bytes that may be queued on a link ahead of an answer.
+/// Maximum number of bytes assumed to be queued on a link ahead of an answer.
 ///
-/// Failure: on a narrow link an answer queues behind others for longer than its time limit, and a
-/// sound worker or relay counts as lost.
+/// Timeouts allow for this queue. Otherwise, on a slow link, an answer would queue behind others
+/// for longer than its timeout, and a healthy worker or relay would count as lost.
 const MAX_QUEUED_BYTES: usize = 128 << 10;
 
-/// A number that is no rate.
+/// The value is not a valid link rate.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("a link's rate is a positive number of megabits a second")]
+#[error("a link rate must be a positive number of Mbit/s")]
 pub struct InvalidRate;
 
 impl LinkRate {
-    /// A rate in megabits a second.
+    /// Creates a rate in Mbit/s.
     pub fn new(megabits: f64) -> Result<Self, InvalidRate> {
         match megabits.is_finite() && megabits > 0.0 {
             true => Ok(Self(megabits)),
@@ -35,23 +35,23 @@
         }
     }
 
-    /// Time that so many bytes take.
+    /// Time to transfer `bytes` over the link.
     pub fn transfer_time(self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / (self.0 * BYTES_PER_MEGABIT))
     }
 
-    /// Time for which an answer may be queued on the link.
+    /// Maximum time that an answer is assumed to be queued on the link.
     pub fn queue_time(self) -> Duration {
         self.transfer_time(MAX_QUEUED_BYTES)
     }
 
-    /// Bytes that go through in a time.
+    /// Number of bytes that the link transfers in `time`.
     pub fn bytes_in(self, time: Duration) -> usize {
         (time.as_secs_f64() * self.0 * BYTES_PER_MEGABIT) as usize
     }
 }
 
-/// A gigabit a second.
+/// 1 Gbit/s.
 impl Default for LinkRate {
     fn default() -> Self {
         Self(1_000.0)
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -12,18 +12,17 @@
 
 use crate::NodeError;
 
-/// Lines that may wait to be written. Further ones are dropped and counted: nothing that serves
-/// a caller waits for whoever reads the log.
+/// Maximum number of lines waiting to be written. Further lines are dropped and counted, so that a
+/// slow reader of the log cannot delay requests.
 const MAX_QUEUED: usize = 2_048;
 
-/// Most bytes that are written at a time, beside the last line: readers of pipes cut long
-/// writes.
+/// Size from which a write takes no further lines, in bytes: readers of pipes split long writes.
 const MAX_WRITE_BYTES: usize = 4 << 10;
 
-/// Lines that were dropped since the last one that was written.
+/// Number of lines dropped since the last line that was queued.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Sends log lines to standard output.
+/// Installs the logger, which writes to standard output.
 pub fn init_log() -> Result<(), NodeError> {
     let (queue, lines) = sync_channel::<String>(MAX_QUEUED);
     thread::spawn(move || {
@@ -34,7 +33,7 @@
             {
                 text.push_str(&next);
             }
-            // With standard output gone there is nobody left to tell.
+            // If standard output is closed, there is no other place to report the error.
             let _ = stdout().write_all(text.as_bytes());
         }
     });
@@ -44,7 +43,7 @@
         .level_for("cactuswheel_capacity", LevelFilter::Info)
         .level_for("cactuswheel_cell", LevelFilter::Info)
         .level_for("cactuswheel_relay", LevelFilter::Info)
-        // It calls every late answer an error; our own lines tell which peer is silent.
+        // tarpc logs every late answer as an error; this crate logs which node does not answer.
         .level_for("tarpc", LevelFilter::Off)
         .chain(fern::Output::call(move |record| push(&queue, record)))
         .apply()?;
@@ -69,11 +68,11 @@
     line
 }
 
-/// A record's own fields, and over them its time `at` in milliseconds since 1970, its level and
-/// its message.
+/// Fields of a log line: the record's own fields, then its time `at` in milliseconds since 1970,
+/// its level and its message, which replace fields of the same names.
 pub fn record_fields(record: &Record<'_>, at: u64) -> Map<String, serde_json::Value> {
     let mut fields = Fields(Map::new());
-    // A field that cannot be shown is left out; the line itself still helps.
+    // Fields that cannot be formatted are left out.
     let _ = record.key_values().visit(&mut fields);
     let Fields(mut fields) = fields;
     fields.insert("at".into(), at.into());
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, read at the metrics address.
+//! Metrics, served at the metrics address.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
 ];
 
-/// What a node counts.
+/// Metrics of a node.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -93,7 +93,7 @@
         })
     }
 
-    /// All metrics as text, in the format that Prometheus reads.
+    /// All metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Result<String, prometheus::Error> {
         TextEncoder::new().encode_to_string(&self.registry.gather())
     }
@@ -133,24 +133,24 @@
             .add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// What the cell has counted since it was last asked.
+    /// Adds what the cell has counted since its tallies were last taken.
     pub(crate) fn add_tallies(&self, since: Tallies) {
         self.worker_ends.add(since.ended, &[]);
         self.runs_lost.add(since.lost, &[]);
         self.given_up.add(since.given_up, &[]);
     }
 
-    /// Share of the time for which the owner was at work, in percent.
+    /// Sets the share of time during which the owner was busy, in percent.
     pub(crate) fn set_busy(&self, percent: u64) {
         self.busy.record(percent, &[]);
     }
 
-    /// Nodes that relay this owner's orders.
+    /// Sets the number of nodes that relay this owner's orders.
     pub(crate) fn set_relays(&self, count: usize) {
         self.relays.record(count as u64, &[]);
     }
 
-    /// 0 while this node does not own the cell.
+    /// Sets the epoch of the ownership; 0 while this node does not own the cell.
     pub(crate) fn set_epoch(&self, epoch: u64) {
         self.epoch.record(epoch, &[]);
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the parts of a node.
+//! Startup and shutdown of a node.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -21,17 +21,17 @@
 use crate::shared::Shared;
 use crate::{NodeError, Settings, config_follower, owner, peer, ready, relay_server, view};
 
-/// Time from the signal to stop until no more connections are taken: the balancer looks once a
-/// second and believes the second refusal.
+/// Time from the stop signal until the node stops accepting connections. The load balancer probes
+/// once a second and removes a node after the second failed probe.
 const BALANCER_DELAY: Duration = Duration::from_millis(2_300);
 
-/// Time left before the process is killed.
+/// Time reserved for exiting before the platform kills the process.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
 
-/// How often a stopping node looks whether it has answered everything.
+/// How often a stopping node checks whether requests are still in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a node until it is told to stop.
+/// Runs a node until it receives SIGTERM or SIGINT.
 pub async fn run(path: PathBuf, settings: Settings) -> Result<(), NodeError> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -45,7 +45,7 @@
     log::info!(
         node:% = shared.settings.node, zone:% = shared.settings.zone, life = life,
         callers:% = shared.settings.listen.callers, version = env!("CARGO_PKG_VERSION");
-        "node starts"
+        "node starting"
     );
     let (role, roles) = watch::channel(Role::Idle);
     let (halt, halted) = watch::channel(false);
@@ -67,7 +67,7 @@
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
     }
-    log::info!(busy = front.in_flight.load(Ordering::Acquire) as u64; "node stops");
+    log::info!(busy = front.in_flight.load(Ordering::Acquire) as u64; "node stopping");
     shared.stop();
     let _ = halt.send(true);
     let finish = async {
@@ -86,12 +86,12 @@
         whole = complete.is_ok(), busy = front.in_flight.load(Ordering::Acquire) as u64;
         "node stopped"
     );
-    // The last lines are written by another thread.
+    // The log is written by another thread, which needs a moment for the last lines.
     sleep(POLL_INTERVAL).await;
     Ok(())
 }
 
-/// Starts what goes on until the process ends, whoever owns the cell.
+/// Starts the tasks that run until the process ends, independent of who owns the cell.
 fn spawn_services(
     shared: &Arc<Shared>,
     ready_listener: TcpListener,
@@ -105,7 +105,7 @@
     tokio::spawn(relay_server::offer(shared.clone()));
 }
 
-/// Waits until every request has its answer and every caller's connection is closed.
+/// Waits until every request is answered and every caller's connection is closed.
 async fn drain_requests(front: &Front, open: &TaskTracker) {
     open.close();
     open.wait().await;
@@ -121,16 +121,19 @@
     .await;
 }
 
-/// Says at each hangup what the settings file holds now. Addresses and names are fixed for the
-/// life of a process; whoever changes them restarts it.
+/// Checks the settings file at each SIGHUP and logs whether it differs from the settings in use.
+/// Settings are fixed for the lifetime of the process; changes need a restart.
 async fn watch_settings(mut hangup: Signal, path: PathBuf, shared: Arc<Shared>) {
     while hangup.recv().await.is_some() {
         match Settings::load(&path) {
             Ok(settings) => {
                 let changed = settings != shared.settings;
-                log::info!(changed = changed; "settings reloaded: in force from the next start");
+                log::info!(
+                    changed = changed;
+                    "settings file read; changes take effect after a restart"
+                );
             }
-            Err(e) => log::error!(error:% = e; "settings are not usable: the old ones hold"),
+            Err(e) => log::error!(error:% = e; "invalid settings file; keeping old settings"),
         }
     }
 }
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -1,4 +1,4 @@
-//! How long jobs wait at the owner, as a front knows it.
+//! Waiting times of jobs at the owner, as known to a front end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,21 +7,22 @@
 use cactuswheel_cell::{Slack, Waits};
 use cactuswheel_model::Time;
 
-/// How long jobs wait at the owner, as it has told last.
+/// Waiting times last reported by the owner.
 ///
-/// Failure: callers that are refused come back, each try with all that the job runs goes over the
-/// owner's link, and what the link should carry waits behind them. A front asks with the job's
-/// name only until what the owner has told would be over.
+/// Refused callers retry. If a front end forwarded each retry with its job spec, the specs would
+/// fill the owner's link and delay its other traffic. So until the reported waits have passed, a
+/// front end first sends the owner the job id only.
 #[derive(Debug, Default)]
 pub struct Overload(ArcSwapOption<(Time, Waits)>);
 
 impl Overload {
-    /// The owner has refused a job for these waits.
+    /// Records the waits that the owner reported.
     pub fn learn(&self, now: Time, waits: Waits) {
         self.0.store(Some(Arc::new((now, waits))));
     }
 
-    /// By how much a job with this slack would begin too late, as far as is known.
+    /// How much too late a job with this slack would start; `None` if it would start in time as far
+    /// as known.
     pub fn excess(&self, now: Time, slack: Slack) -> Option<Duration> {
         let known = self.0.load();
         let (received, waits) = known.as_deref()?;
@@ -29,12 +30,12 @@
     }
 }
 
-/// By how much a job would begin too late if nobody has taken jobs for `silence` and a takeover
-/// usually takes `usual`: one that takes longer may take as long again.
+/// How much too late a job would start if no owner has accepted jobs for `outage` and a takeover
+/// usually takes `usual`. An outage that is longer than that is assumed to last as long again.
 ///
-/// Failure: nobody owns the cell for ten seconds, fronts store all that comes, the next owner has to
-/// read it before it starts anything and loses the ownership over it, and hundreds of jobs that were
-/// accepted never run.
+/// Without this check, front ends would store every job while the cell has no owner. After an
+/// outage of 10 seconds the next owner would have to read all of them before it starts anything,
+/// would lose the ownership meanwhile, and hundreds of accepted jobs would never run.
 pub fn outage_excess(outage: Duration, usual: Duration, slack: Slack) -> Option<Duration> {
     let excess = outage.saturating_sub(usual + slack.timely);
     (!excess.is_zero()).then_some(excess)
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,4 +1,4 @@
-//! What nodes ask the cell's owner.
+//! RPCs between nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,22 +24,23 @@
 use crate::relay_server::RelayServer;
 use crate::shared::Shared;
 
-/// Largest frame, in bytes; a longer one ends the connection.
+/// Maximum size of a frame, in bytes. A larger frame closes the connection.
 const MAX_FRAME: usize = 256 << 10;
 
-/// Time for a connection to the owner.
+/// Timeout for connecting to another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause after a failed `accept`, so that running out of descriptors does not spin a core.
+/// Pause after a failed `accept`, so that running out of file descriptors does not cause a busy
+/// loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time that a node waits for what a job runs: the owner may have sent it just now.
+/// How long a node that is asked for a job spec waits for it: the owner may have just sent it.
 const SPEC_WAIT: Duration = Duration::from_millis(300);
 
-/// Pause between two looks for it.
+/// Interval at which the spec cache is polled during this wait.
 const SPEC_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where the cell's owner is.
+/// Node, address and epoch of the cell's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct OwnerAddress {
     pub(crate) node: NodeName,
@@ -47,60 +48,62 @@
     pub(crate) epoch: u64,
 }
 
-/// What the owner says of a job.
+/// Answer to a query for a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum JobAnswer {
-    /// It is known.
+    /// The job exists.
     Known {
         state: JobState,
         team: Option<TeamName>,
     },
-    /// There is no such job: the owner knows everything that was accepted.
+    /// There is no such job. The owner knows of every accepted job.
     Unknown,
-    /// Whoever was asked does not own the cell, or not yet.
+    /// The node does not own the cell, or has not finished its takeover.
     NotOwner,
 }
 
-/// What the owner says of a queue.
+/// Answer to a query for a queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum QueueAnswer {
-    /// Jobs of which no task has started.
+    /// Number of jobs of which no task has started.
     Pending(u64),
-    /// Whoever was asked does not own the cell, or not yet.
+    /// The node does not own the cell, or has not finished its takeover.
     NotOwner,
 }
 
-/// What the owner says of a job that a front has handed in.
+/// The owner's answer to a job that a front end handed in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum HandInAnswer {
-    /// The store holds it.
+    /// The job is stored.
     Accepted,
-    /// It left no trace and never will.
+    /// The job was not stored and never will be.
     Refused,
-    /// The same: it would begin too late.
+    /// The job was not stored and never will be, because it would start too late.
     Overloaded(Waits),
-    /// It may be accepted, now or later.
+    /// The outcome is unknown: the job may be accepted already, or be accepted later.
     Unknown,
 }
 
-/// Calls between nodes.
+/// RPCs between nodes.
 #[tarpc::service]
 pub(crate) trait Peer {
+    /// To the owner: the state of a job.
     async fn job(id: JobId) -> JobAnswer;
+    /// To the owner: the number of a queue's jobs that have not started.
     async fn queue(name: QueueName) -> QueueAnswer;
-    /// What the owner knows of a job, without a look at what was accepted elsewhere, and how long
-    /// a new one of its service waits; `None` from a node that is no owner.
+    /// To the owner: what it knows of a job without reading the intake, and how long a new job of
+    /// this service would wait; `None` from a node that is not the owner.
     async fn standing(id: JobId, service: ServiceName) -> Option<(Standing, Waits)>;
-    /// To the owner: accept this job within `limit` milliseconds.
-    /// The front at `origin` keeps what the job runs.
+    /// To the owner: accept this job within `limit` milliseconds. The front end at `origin` keeps
+    /// the job spec.
     async fn hand_in(record: Bytes, origin: SocketAddr, limit: u64) -> HandInAnswer;
-    /// What a job runs, if it is kept here.
+    /// To any node: a job spec, if the node has it.
     async fn spec(digest: SpecDigest) -> Option<Arc<str>>;
-    /// To the owner: the caller offers to relay orders, or goes on doing so.
+    /// To the owner: the caller offers to relay orders, or sends its heartbeat as a relay.
     async fn enlist(offer: Offer) -> Reply;
-    /// To a relay: send these orders to their workers. False if a newer owner's are relayed.
+    /// To a relay: send these orders to their workers. False if it serves a newer owner.
     async fn submit(request: RelayRequest) -> bool;
-    /// To the owner: what became of its orders. False if the caller is no owner any more.
+    /// To the owner: outcomes of its orders. False if the node does not own the cell any more.
     async fn report(reports: Reports) -> bool;
 }
 
@@ -175,7 +178,7 @@
     }
 }
 
-/// Answers other nodes until the task is dropped.
+/// Serves other nodes until the task is dropped.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     let relay = Arc::new(RelayServer::new(shared.clone()));
     loop {
@@ -183,7 +186,7 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        // Small answers would otherwise wait for a delayed acknowledgement.
+        // Without this, small answers wait for a delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         let framed = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME)
@@ -196,7 +199,7 @@
     }
 }
 
-/// A connection to the owner.
+/// A connection to another node.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerLink {
     pub(crate) addr: SocketAddr,
@@ -226,7 +229,7 @@
             .ok()
     }
 
-    /// `None` if no owner answers there.
+    /// `None` if the node does not answer or is not the owner.
     pub(crate) async fn standing(
         &self,
         id: JobId,
@@ -239,7 +242,7 @@
         answer.await.ok()?
     }
 
-    /// `None` if the answer did not come: the job may be accepted, now or later.
+    /// `None` without an answer: the job may be accepted already, or be accepted later.
     pub(crate) async fn hand_in(
         &self,
         record: Bytes,
@@ -253,7 +256,7 @@
         answer.await.ok()
     }
 
-    /// `None` if it is not kept there, or no answer came.
+    /// `None` if the node does not have the spec or does not answer.
     pub(crate) async fn spec(&self, digest: SpecDigest, limit: Duration) -> Option<Arc<str>> {
         self.client
             .spec(context_with_timeout(limit), digest)
--- a/crates/node/src/peer_traffic.rs
+++ b/crates/node/src/peer_traffic.rs
@@ -1,4 +1,4 @@
-//! How many bytes calls between nodes take, beside those to the platform and its workers.
+//! Traffic of this process: RPCs between nodes, calls to the platform and to workers.
 
 use std::sync::{Arc, LazyLock};
 
@@ -8,12 +8,12 @@
 
 static PEER_METER: LazyLock<Arc<Meter>> = LazyLock::new(Arc::default);
 
-/// A connection between nodes, whose bytes are counted.
+/// Wraps a connection to another node so that its bytes are counted.
 pub(crate) fn metered(stream: TcpStream) -> Metered<TcpStream> {
     Metered::new(stream, Some(PEER_METER.clone()))
 }
 
-/// What this process has sent and received, by kind of call; calls between nodes are one kind.
+/// Bytes sent and received by this process, by kind of call; RPCs between nodes are one kind.
 pub(crate) fn traffic_by_kind() -> impl Iterator<Item = Traffic> {
     let peers = Traffic {
         kind: "peers",
@@ -24,7 +24,7 @@
     traffic().chain([peers])
 }
 
-/// All that this process has sent and received, in bytes.
+/// Total of bytes sent and of bytes received by this process.
 pub(crate) fn total_traffic() -> (u64, u64) {
     let add = |(sent, received): (u64, u64), t: Traffic| (sent + t.sent, received + t.received);
     traffic_by_kind().fold((0, 0), add)
--- a/crates/node/src/policies.rs
+++ b/crates/node/src/policies.rs
@@ -1,15 +1,15 @@
-//! Figures and switches of the node's decisions.
+//! Parameters of the scheduling and capacity policies.
 
 use cactuswheel_capacity::PoolPolicy;
 use cactuswheel_cell::WorkPolicy;
 use serde::Deserialize;
 
-/// Figures and switches of the node's decisions; all have defaults.
+/// Parameters of the scheduling and capacity policies; every field has a default.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policies {
-    /// How pools grow and shrink.
+    /// Sizing of pools.
     pub pools: PoolPolicy,
-    /// How jobs are ordered and placed.
+    /// Ordering and placement of jobs.
     pub work: WorkPolicy,
 }
--- a/crates/node/src/ready.rs
+++ b/crates/node/src/ready.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer.
+//! Serves the load balancer's readiness probes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::front::ACCEPT_PAUSE;
 use crate::shared::Shared;
 
-/// Answers the balancer until the task is dropped.
+/// Serves readiness probes until the task is dropped.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -31,7 +31,7 @@
                 async move { Ok::<_, Infallible>(empty_response(status)) }
             });
             let conn = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // A balancer that breaks off asks again.
+            // A load balancer whose connection fails probes again.
             let _ = conn.await;
         });
     }
--- a/crates/node/src/role.rs
+++ b/crates/node/src/role.rs
@@ -1,19 +1,19 @@
-//! A node's part in the ownership.
+//! Whether a node owns the cell.
 
 use cactuswheel_capacity::LastOwner;
 
-/// This node's part in the ownership.
+/// Whether this node owns the cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// Another node owns the cell, or none.
+    /// Another node owns the cell, or no node does.
     Idle,
-    /// This node owns it.
+    /// This node owns the cell.
     Owner {
-        /// The ownership's number.
+        /// Epoch of the ownership.
         epoch: u64,
-        /// No earlier owner was renewing leases any more when it was claimed.
+        /// Whether earlier owners had stopped renewing leases when this node claimed the ownership.
         alone: bool,
-        /// The owner before.
+        /// The previous owner.
         before: Option<LastOwner>,
     },
 }
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -1,4 +1,4 @@
-//! Follows the workers' entries, for the cell's owner.
+//! Follows the roster of workers, for the cell's owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use crate::shared::Shared;
 use crate::topics::WORKERS;
 
-/// How long a read waits for a record.
+/// How long a read waits for new records.
 const READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Time for an answer beyond the wait.
+/// Timeout of a read, in addition to its wait.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause between reads. Every worker writes each second or two, so without it a read would
-/// bring one record; with it, some ten.
+/// Pause between reads. Every worker writes a record each second or two, so that a read would
+/// return a single record without the pause; with it, a read returns about ten.
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
-/// Follows the workers' entries until nobody takes them any more.
+/// Follows the roster until the owner is gone.
 pub(crate) async fn follow(shared: Arc<Shared>, events: mpsc::Sender<Event>) {
     let mut known = Set::default();
     let mut lost = false;
@@ -38,12 +38,13 @@
         }
         if !lost && !matches!(failure, ReadError::Deleted) {
             lost = true;
-            log::warn!(error:% = failure; "roster lost");
+            log::warn!(error:% = failure; "cannot read roster; retrying");
         }
         sleep(READ_PAUSE).await;
     }
 }
 
+/// Reads the newest entry of each worker and returns the offset from which to continue.
 async fn read_newest(
     shared: &Shared,
     events: &mpsc::Sender<Event>,
@@ -67,13 +68,14 @@
             for id in gone {
                 publish(events, known, Keyed::dropped(id.as_str())).await;
             }
-            // Whoever takes this knows every entry.
+            // The receiver has received every entry before this event.
             let _ = events.send(Event::RosterComplete).await;
             return Ok(from);
         }
     }
 }
 
+/// Polls for changed entries, starting at offset `next`, until a read fails.
 async fn follow_from(
     shared: &Shared,
     events: &mpsc::Sender<Event>,
@@ -83,7 +85,7 @@
 ) -> ReadError {
     loop {
         if events.is_closed() {
-            return ReadError::Failed("nobody listens".into());
+            return ReadError::Failed("the owner is gone".into());
         }
         let page = shared
             .store
@@ -94,19 +96,20 @@
             Err(e) => return e,
         };
         if std::mem::take(lost) {
-            log::info!("roster regained");
+            log::info!("roster readable again");
         }
         next += page.records.len() as u64;
         for record in &page.records {
             match Keyed::read(record) {
                 Some(record) => publish(events, known, record).await,
-                None => log::warn!(offset = page.from; "worker's record without a key"),
+                None => log::warn!(offset = page.from; "ignoring roster record without a key"),
             }
         }
         sleep(READ_PAUSE).await;
     }
 }
 
+/// Sends the owner the event for a worker's record; an invalid entry counts as removed.
 async fn publish(events: &mpsc::Sender<Event>, known: &mut Set<WorkerId>, record: Keyed) {
     let id = WorkerId::from(record.key);
     let entry = record.value.map(|value| read_worker(id.as_str(), &value));
@@ -116,7 +119,7 @@
             Event::WorkerUpdated(entry)
         }
         Some(Err(e)) => {
-            log::warn!(worker:% = id, error:% = e; "worker's entry names none to use");
+            log::warn!(worker:% = id, error:% = e; "worker removed from roster: invalid entry");
             known.remove(&id);
             Event::WorkerRemoved(id)
         }
@@ -125,6 +128,6 @@
             Event::WorkerRemoved(id)
         }
     };
-    // With the owner gone there is nobody to tell.
+    // The owner may be gone; the events channel is then closed.
     let _ = events.send(event).await;
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, as JSON.
+//! The settings file of a node, in JSON.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,11 +13,12 @@
 use crate::LinkRate;
 use crate::policies::Policies;
 
-/// Bytes a second of a link that go with a core: an owner that uses all of a core moves about as
-/// many.
+/// Link throughput that corresponds to one core, in bytes per second: an owner that uses a whole
+/// core transfers about this much.
 const BYTES_PER_CORE: f64 = 5_000_000.0;
 
-/// Most partitions of a topic. Each is followed by a read of its own, and a takeover reads all.
+/// Maximum number of partitions of a topic. The owner polls each partition separately, and a
+/// takeover reads all of them.
 const MAX_PARTITIONS: u32 = 64;
 
 /// Settings of a node.
@@ -27,52 +28,54 @@
     pub node: NodeName,
     /// Its data centre.
     pub zone: ZoneName,
-    /// Processor that it has, in cores: those with more claim the ownership first.
+    /// CPU available to the node, in cores. Nodes with more claim the ownership first.
     #[serde(default = "one_core")]
     pub cores: f64,
-    /// Rate of its link, in megabits a second: what it reads and orders at a time follows it.
+    /// Rate of its network link, in Mbit/s. Timeouts and the amount of data in flight depend on it.
     #[serde(default, rename = "link_mbps")]
     pub link: LinkRate,
-    /// Memory that it may use, in MiB: a cell whose state is too large for it is left to others.
+    /// Memory that the node may use, in MiB. It leaves a cell whose state is too large to other
+    /// nodes.
     #[serde(default = "much_memory", rename = "memory_mb")]
     pub memory: u64,
-    /// Where it listens.
+    /// Addresses it listens on.
     pub listen: Listen,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Partitions that a topic of the store has; the same on all nodes.
+    /// Number of partitions of each topic in the store; must be the same on all nodes.
     #[serde(default = "one_part")]
     pub parts: u32,
-    /// The platform's service for instances; without it none is moved or maintained.
+    /// Address of the platform's instance service; without it no instance is moved or maintained.
     #[serde(default)]
     pub instances: Option<SocketAddr>,
-    /// The policy service of queues that have one.
+    /// Address of the policy service, for queues that use one.
     #[serde(default)]
     pub policy: Option<SocketAddr>,
-    /// How a team's share is counted when the fleet is full.
+    /// How team shares are enforced when the fleet is full.
     #[serde(default)]
     pub share: Share,
-    /// Figures and switches of the node's decisions.
+    /// Parameters of the scheduling and capacity policies.
     #[serde(default)]
     pub policies: Policies,
-    /// Times that the platform sets.
+    /// Time limits set by the platform.
     pub times: Times,
 }
 
-/// How a team's share is counted when the fleet is full: jobs within a window, by its weight.
+/// How team shares are enforced when the fleet is full: each team may run jobs in proportion to its
+/// weight within a time window.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Share {
-    /// The window.
+    /// Length of the window.
     #[serde(rename = "window_s", deserialize_with = "from_seconds")]
     pub window: Millis,
-    /// Part of the share that may come on top of it, for bursts.
+    /// Fraction of the share allowed on top of it for bursts.
     pub burst: f64,
-    /// Jobs that may come on top in each window, whatever the share.
+    /// Number of jobs allowed on top of the share in each window, regardless of its size.
     pub slack: u32,
 }
 
-/// What the customers' platform says where it says it.
+/// The defaults of the platform.
 impl Default for Share {
     fn default() -> Self {
         Self {
@@ -93,87 +96,88 @@
     }
 }
 
-/// Where a node listens.
+/// Addresses that a node listens on.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// For the balancer, which asks whether the node takes connections.
+    /// Address for the load balancer's readiness probes.
     pub ready: SocketAddr,
-    /// For other nodes.
+    /// Address for other nodes.
     pub peers: SocketAddr,
-    /// For whoever reads metrics.
+    /// Address for metrics and the operators' views.
     pub metrics: SocketAddr,
 }
 
-/// Times that the platform sets: `_ms` in milliseconds, `_s` in seconds, fractions allowed.
+/// Time limits set by the platform. In the file, `_ms` fields are in milliseconds and `_s` fields
+/// in seconds; fractions are allowed.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Times {
-    /// After this a withdrawn key is not accepted any more, whatever happens.
+    /// Time after which a revoked key must be rejected under all circumstances.
     #[serde(rename = "revoke_ms", deserialize_with = "from_millis")]
     pub revoke: Millis,
-    /// Longest lease that a worker grants.
+    /// Maximum lease that a worker grants.
     #[serde(rename = "lease_ms", deserialize_with = "from_millis")]
     pub lease: Millis,
-    /// Time for which a final state can be asked for.
+    /// How long the final state of a job can be queried.
     #[serde(rename = "kept_s", deserialize_with = "from_seconds")]
     pub retention: Millis,
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     #[serde(rename = "grace_s", deserialize_with = "from_seconds")]
     pub grace: Millis,
-    /// Time that maintenance of an instance takes.
+    /// Duration of an instance's maintenance.
     #[serde(rename = "maintain_s", deserialize_with = "from_seconds")]
     pub maintenance: Millis,
-    /// Time for which orders to an instance have to come from one node.
+    /// Time within which all orders to an instance must come from the same node.
     #[serde(rename = "order_ms", deserialize_with = "from_millis")]
     pub order: Millis,
-    /// Longest time that a worker takes to stop a run.
+    /// Maximum time that a worker takes to stop a run.
     #[serde(
         rename = "stop_ms",
         default = "one_second",
         deserialize_with = "from_millis"
     )]
     pub stop: Millis,
-    /// Time from a throttle order to its effect.
+    /// Time until a throttle order takes effect.
     #[serde(rename = "pace_ms", deserialize_with = "from_millis")]
     pub pace: Millis,
 }
 
-/// Why settings cannot be used.
+/// An error in loading the settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("error 501: {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What went wrong.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It holds something else.
+    /// The file is not valid JSON or does not match the schema.
     #[error("error 501: {path}: at `{place}`: {source}")]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The field.
+        /// Path of the field in the file.
         place: String,
-        /// What went wrong.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// A value is out of its range.
+    /// A value is out of range.
     #[error("error 501: {path}: `{place}` {fault}")]
     Range {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The field.
+        /// Path of the field in the file.
         place: String,
-        /// What is wrong with it.
+        /// The range it must be in.
         fault: &'static str,
     },
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read(path).map_err(|e| SettingsError::Read {
             path: path.into(),
@@ -196,14 +200,13 @@
         }
     }
 
-    /// How much of a cell's work the node can do, in cores: as much as its processor and its link
-    /// both allow.
+    /// Capacity of the node as an owner, in cores: limited by both its CPU and its network link.
     pub fn strength(&self) -> f64 {
         let link = self.link.bytes_in(Duration::from_secs(1)) as f64;
         self.cores.min(link / BYTES_PER_CORE)
     }
 
-    /// The first field that is out of its range, and what is wrong with it.
+    /// Returns the first field that is out of range, and the range it must be in.
     fn validate(&self) -> Option<(String, &'static str)> {
         let own = self.validate_own();
         let own = own.map(|(place, fault)| (place.to_owned(), fault));
@@ -264,7 +267,7 @@
     let ms = f64::deserialize(input)?;
     match ms.is_finite() && ms >= 0.0 {
         true => Ok(Millis::new(ms.round() as u64)),
-        false => Err(D::Error::custom("a time is 0 or more")),
+        false => Err(D::Error::custom("a duration must be 0 or more")),
     }
 }
 
@@ -272,6 +275,6 @@
     let s = f64::deserialize(input)?;
     match s.is_finite() && s >= 0.0 {
         true => Ok(Millis::new((s * 1_000.0).round() as u64)),
-        false => Err(D::Error::custom("a time is 0 or more")),
+        false => Err(D::Error::custom("a duration must be 0 or more")),
     }
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share. Beliefs on the way of a request are read without a lock.
+//! State shared between the tasks of a node. State on the request path is read without a lock.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -22,80 +22,81 @@
 use crate::peer::{OwnerAddress, PeerLink};
 use crate::settings::Settings;
 
-/// What the parts of a node share.
+/// State shared between the tasks of a node.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    /// Tells this life of the node from others.
+    /// Random number that identifies this process among all runs of the node.
     pub(crate) life: u64,
     pub(crate) clock: Clock,
     pub(crate) store: Store,
-    /// The record of orders to instances.
+    /// Log of the orders sent to instances.
     pub(crate) orders: OrderLog,
-    /// How long the store's answers to appends take.
+    /// Latency of appends to the store.
     pub(crate) append_rtt: RttEstimator,
     pub(crate) metrics: Metrics,
-    /// The newest configuration; `None` until the first was read.
+    /// The newest configuration; `None` until the first one is read.
     pub(crate) config: ArcSwapOption<FleetConfig>,
-    /// Waves of maintenance that the operators ask for.
+    /// Maintenance waves requested by the operators.
     pub(crate) waves: ArcSwapOption<Vec<Wave>>,
-    /// Data centres that the operators evacuate.
+    /// Data centres that the operators are evacuating.
     pub(crate) evacuated: ArcSwap<Set<ZoneName>>,
-    /// When the read was sent that last confirmed the configuration.
+    /// When the last read that confirmed the configuration was sent, in milliseconds.
     config_confirmed: AtomicU64,
     store_health: CallHealth,
-    /// Where the cell's owner is, as far as the store has told.
+    /// Address of the cell's owner, from the newest ownership record.
     pub(crate) owner: ArcSwapOption<OwnerAddress>,
-    /// The connection to the owner.
+    /// Connection to the owner.
     pub(crate) owner_link: ArcSwapOption<PeerLink>,
-    /// How long the owner takes to accept a job.
+    /// Latency of the owner's answers when this node hands in jobs.
     pub(crate) accept_rtt: RttEstimator,
-    /// A connection to the owner is being made.
+    /// Whether a task is connecting to the owner.
     pub(crate) connecting: AtomicBool,
-    /// The cell's owner, while it is this node.
+    /// Handle of the owner, while this node owns the cell.
     pub(crate) local_owner: ArcSwapOption<OwnerHandle>,
-    /// Whether an owner answers when this node hands jobs in.
+    /// Whether an owner answers when this node hands in jobs.
     pub(crate) owner_health: CallHealth,
-    /// How long jobs wait, as the owner has told last.
+    /// Waiting times last reported by the owner.
     pub(crate) overload: Overload,
-    /// What jobs run, as this node has accepted or relayed them.
+    /// Specs of the jobs that this node accepted or relayed.
     specs: Mutex<SpecCache>,
-    /// Least time without a renewal after which an ownership of this node may be claimed.
+    /// Minimum time without a renewal after which another node may claim this node's ownership.
     pub(crate) min_expiry: Duration,
-    /// That time as this node's newest record has it, in milliseconds.
+    /// Expiry in this node's newest ownership record, in milliseconds.
     expiry: AtomicU64,
-    /// The owner that is known does not answer: there may be another one.
+    /// Notified when the known owner does not answer, as there may be a new owner.
     pub(crate) owner_unreachable: Notify,
-    /// When the write was sent that last confirmed this node's ownership.
+    /// When the last write that confirmed this node's ownership was sent, in milliseconds.
     ownership_confirmed: AtomicU64,
-    /// Until then this node leaves the ownership to others.
+    /// Until when this node does not claim the ownership, in milliseconds.
     claim_pause: AtomicU64,
-    /// The ownership has to be claimed anew: the cell was given up while it was held.
+    /// The ownership must be claimed under a new epoch, because this node stopped running the cell
+    /// while it still held the ownership.
     pub(crate) reclaim: AtomicBool,
     stopping: AtomicBool,
 }
 
-/// Part of the revocation bound after which a configuration that was not confirmed is stale:
-/// the rest covers the way from the check to the worker and the rounding of clocks.
+/// Share of the key revocation bound after which an unconfirmed configuration is stale. The rest
+/// covers the time from the key check to the start on a worker, and clock rounding.
 const MAX_CONFIG_AGE_SHARE: f64 = 0.8;
 
-/// Time for which a node that could not take the cell over leaves it to others: each of a few
-/// hundred nodes has its turn in it.
+/// How long a node that failed to take over the cell leaves the ownership to other nodes. It is
+/// long enough for each of a few hundred nodes to try once.
 const CLAIM_PAUSE: Duration = Duration::from_secs(10);
 
-/// Shortest wait for the answer to an append before it is tried again beside. An append takes
-/// some ten milliseconds; a node that has used its processor up stands still for a tenth of a
-/// second.
+/// Minimum wait for the answer to an append before a second attempt is sent in parallel. An append
+/// takes about 10 ms, but a node that has used up its CPU quota is suspended for 100 ms.
 const MIN_APPEND_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Shortest and longest wait for the owner to accept a job before its front stores it by itself.
+/// Bounds of the wait for the owner to accept a job before the front end stores it in the intake
+/// itself.
 const MIN_ACCEPT_TIMEOUT: Duration = Duration::from_millis(400);
 const MAX_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest such wait, for a store that takes most of a second.
+/// Maximum wait for the answer to an append, for a store that takes most of a second.
 const MAX_APPEND_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Bytes of what jobs run that a node keeps.
+/// Size of the cache of job specs, in bytes.
 const SPEC_CACHE_BYTES: usize = 4 << 20;
 
 impl Shared {
@@ -131,90 +132,93 @@
         }
     }
 
-    /// What jobs run, as this node has accepted or relayed them.
+    /// Specs of the jobs that this node accepted or relayed.
     pub(crate) fn specs(&self) -> MutexGuard<'_, SpecCache> {
         self.specs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The configuration was confirmed by a read that was sent at `sent`.
+    /// Records that a read sent at `sent` confirmed the configuration.
     pub(crate) fn confirm_config(&self, sent: Time) {
         self.config_confirmed
             .fetch_max(sent.get(), Ordering::Relaxed);
     }
 
-    /// Age of the configuration's last confirmation, in milliseconds.
+    /// Time since the configuration was last confirmed, in milliseconds.
     pub(crate) fn config_age(&self) -> u64 {
         let confirmed = Time::new(self.config_confirmed.load(Ordering::Relaxed));
         self.clock.now().since(confirmed).as_millis() as u64
     }
 
-    /// Whether no key can have been withdrawn too long ago without this node knowing.
+    /// Whether the configuration is recent enough that a revoked key cannot be accepted past the
+    /// revocation bound.
     pub(crate) fn is_config_fresh(&self) -> bool {
         let bound = self.settings.times.revoke.get() as f64 * MAX_CONFIG_AGE_SHARE;
         self.config.load().is_some() && (self.config_age() as f64) < bound
     }
 
-    /// A call to the store has failed.
+    /// Records a failed call to the store.
     pub(crate) fn store_failed(&self) {
         if self.store_health.failed(self.clock.now()) {
-            log::warn!(config_age_ms = self.config_age(); "store does not answer");
+            log::warn!(config_age_ms = self.config_age(); "store unreachable");
         }
     }
 
-    /// The store has answered.
+    /// Records an answer of the store.
     pub(crate) fn store_answered(&self) {
         if let Some(time) = self.store_health.answered(self.clock.now()) {
-            log::info!(ms = time.as_millis() as u64; "store answers again");
+            log::info!(ms = time.as_millis() as u64; "store reachable again");
         }
     }
 
-    /// Whether new callers are welcome.
+    /// Whether the node accepts new callers, as reported to the load balancer.
     pub(crate) fn is_ready(&self) -> bool {
         self.is_config_fresh()
             && !self.store_health.is_unreachable(self.clock.now())
             && !self.is_stopping()
     }
 
-    /// This node's ownership was confirmed by a write that was sent at `sent`.
+    /// Records that a write sent at `sent` confirmed this node's ownership.
     pub(crate) fn confirm_ownership(&self, sent: Time) {
         self.ownership_confirmed
             .fetch_max(sent.get(), Ordering::Relaxed);
     }
 
-    /// Whether that was confirmed by a write that was sent after `time`.
+    /// Whether a write sent at or after `time` confirmed this node's ownership.
     pub(crate) fn ownership_confirmed_since(&self, time: Time) -> bool {
         Time::new(self.ownership_confirmed.load(Ordering::Relaxed)) >= time
     }
 
-    /// Time without a renewal after which an ownership of this node may be claimed.
+    /// Time without a renewal after which another node may claim this node's ownership.
     pub(crate) fn expiry(&self) -> Duration {
         Duration::from_millis(self.expiry.load(Ordering::Relaxed))
     }
 
-    /// Another time goes on record: a shorter one before it is written, a longer one after.
+    /// Sets the expiry of this node's ownership. A shorter expiry must be set before its record is
+    /// written, a longer one only after.
     pub(crate) fn set_expiry(&self, time: Duration) {
         self.expiry
             .store(time.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Age of that confirmation.
+    /// Time since this node's ownership was last confirmed.
     pub(crate) fn ownership_age(&self) -> Duration {
         let confirmed = Time::new(self.ownership_confirmed.load(Ordering::Relaxed));
         self.clock.now().since(confirmed)
     }
 
-    /// Whether this node's ownership was confirmed so lately that nobody else can have claimed it.
+    /// Whether this node's ownership was confirmed so recently that no other node can have claimed
+    /// it.
     pub(crate) fn holds_ownership(&self) -> bool {
         self.ownership_age() < self.expiry()
     }
 
-    /// Leaves the ownership to others for a while: this node cannot hold it.
+    /// Stops claiming the ownership for a while, as this node cannot run the cell.
     pub(crate) fn pause_claims(&self) {
         let until = self.clock.now().after(CLAIM_PAUSE);
         self.claim_pause.store(until.get(), Ordering::Relaxed);
     }
 
-    /// Whether this node leaves the ownership to others.
+    /// Whether this node currently leaves the ownership to other nodes.
     pub(crate) fn claims_paused(&self) -> bool {
         self.clock.now().get() < self.claim_pause.load(Ordering::Relaxed)
     }
--- a/crates/node/src/spec_fetcher.rs
+++ b/crates/node/src/spec_fetcher.rs
@@ -1,4 +1,4 @@
-//! Fetches what jobs run from the nodes that have it.
+//! Fetches job specs from other nodes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,10 +10,11 @@
 use crate::peer::PeerLink;
 use crate::shared::Shared;
 
-/// Time for another node to send what a job runs; the owner sends it by itself after that.
+/// Timeout for fetching a job spec. After it, the order is rejected and the owner sends the spec
+/// itself.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Fetches what jobs run from the nodes that have it.
+/// Fetches job specs from other nodes.
 pub(crate) struct SpecFetcher {
     shared: Arc<Shared>,
     /// Connections to other nodes.
@@ -28,7 +29,7 @@
         }
     }
 
-    /// What a job runs, which the node at `origin` keeps; `None` if it does not come in time.
+    /// Fetches a job spec from the node at `origin`; `None` if it does not arrive in time.
     pub(crate) async fn fetch(&self, digest: SpecDigest, origin: SocketAddr) -> Option<Arc<str>> {
         if let Some(spec) = self.shared.specs().get(&digest) {
             return Some(spec);
@@ -54,7 +55,7 @@
         };
         let spec = link.spec(digest, FETCH_TIMEOUT).await;
         if spec.is_none() {
-            // The connection may have gone silent.
+            // The connection may be broken; the next request opens a new one.
             self.links().remove(&origin);
         }
         spec
--- a/crates/node/src/topics.rs
+++ b/crates/node/src/topics.rs
@@ -1,10 +1,10 @@
-//! The system's own topics in the platform's store. Each partition belongs to one cell.
+//! Topics in the platform's store. Each partition belongs to one cell.
 
 use cactuswheel_adapter::Partition;
 use cactuswheel_work::JobId;
 
-/// A partition of what fronts accepted: submissions and cancels, by job. Nothing here is ever
-/// changed, so any front may write at any time without knowing the cell's owner.
+/// A partition of the intake: the submissions and cancels that front ends accepted, keyed by job.
+/// Records never change, so any front end may write at any time without knowing the cell's owner.
 pub(crate) const fn intake(part: u32) -> Partition {
     Partition {
         topic: "keyed.intake",
@@ -12,40 +12,42 @@
     }
 }
 
-/// Number of the intake's partition that a job's records are in, of `parts`.
+/// Number of the intake partition of a job's records, of `parts` partitions.
 ///
-/// Failure: the store takes one append of a partition at a time. While it is slow, appends of
-/// all fronts to one partition wait for each other for longer than callers do; spread by job
-/// they do not meet, and a job's cancel still follows the job.
+/// The store processes one append per partition at a time. With a single partition and a slow
+/// store, the appends of all front ends would queue behind each other for longer than callers wait.
+/// Partitioning by job avoids this and still keeps a job's cancel after its submission.
 pub(crate) fn intake_part(id: JobId, parts: u32) -> u32 {
     (id.get() % u64::from(parts)) as u32
 }
 
-/// The owner's state of each job. Only the newest owner can write: its epoch shuts out others.
+/// The owner's journal: the state of each job. Only the newest owner can write, as its epoch fences
+/// earlier owners.
 pub(crate) const JOURNAL: Partition = Partition {
     topic: "keyed.journal",
     part: 0,
 };
 
-/// Who owns the cell.
+/// The record of who owns the cell.
 pub(crate) const OWNER: Partition = Partition {
     topic: "keyed.owner",
     part: 0,
 };
 
-/// Instances that had their maintenance, as `WAVE/INSTANCE`.
+/// Instances whose maintenance is done, keyed by `WAVE/INSTANCE`.
 pub(crate) const MAINTAINED: Partition = Partition {
     topic: "keyed.maintained",
     part: 0,
 };
 
-/// When each wave of maintenance was first seen, in milliseconds since 1970, by its number.
+/// When each maintenance wave was first seen, in milliseconds since 1970, keyed by its number.
 pub(crate) const WAVES: Partition = Partition {
     topic: "keyed.waves",
     part: 0,
 };
 
-/// A partition of who ordered an instance last, and when. Any partition may hold any instance.
+/// A partition of the last order to each instance: which owner gave it, and when. An instance's
+/// record may be in any partition.
 pub(crate) const fn orders(part: u32) -> Partition {
     Partition {
         topic: "keyed.orders",
@@ -53,19 +55,19 @@
     }
 }
 
-/// The operators' records.
+/// The operators' records: the configuration, maintenance waves and evacuations.
 pub(crate) const OPERATORS: Partition = Partition {
     topic: cactuswheel_adapter::OPERATOR_TOPIC,
     part: 0,
 };
 
-/// The workers' entries.
+/// The roster of workers.
 pub(crate) const WORKERS: Partition = Partition {
     topic: cactuswheel_adapter::WORKERS_TOPIC,
     part: 0,
 };
 
-/// A record of the intake, by its key.
+/// Key of an intake record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IntakeKey {
     Submitted(JobId),
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What a node tells operators at its metrics address.
+//! Metrics and views for operators, served at the metrics address.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 
 use crate::shared::Shared;
 
-/// Where the cell is told of.
+/// Path of the cell view.
 const CELL_PATH: &str = "/cell";
 
-/// Where one job is told of; its identifier follows.
+/// Path prefix of the job view, followed by the job id.
 const JOB_PATH: &str = "/cell/jobs/";
 
-/// Answers a request at the metrics address.
+/// Answers a request at the metrics address; every path that is not a view gets the metrics.
 pub(crate) async fn answer(shared: Arc<Shared>, path: String) -> Reply {
     if path == CELL_PATH {
         return cell(&shared).await;
@@ -51,7 +51,10 @@
 
 async fn job(shared: &Shared, id: &str) -> Reply {
     let Ok(id) = id.parse::<JobId>() else {
-        return text(StatusCode::BAD_REQUEST, "16 lower-case hexadecimal digits");
+        return text(
+            StatusCode::BAD_REQUEST,
+            "a job id is 16 lower-case hexadecimal digits",
+        );
     };
     let Some(own) = shared.local_owner.load_full() else {
         return text(
@@ -61,11 +64,11 @@
     };
     match own.story(id).await {
         Some(story) => json(StatusCode::OK, &story),
-        None => text(StatusCode::NOT_FOUND, "no such job"),
+        None => text(StatusCode::NOT_FOUND, "job not found"),
     }
 }
 
-/// The cell, for operators.
+/// View of the cell for operators.
 pub(crate) fn cell_view(cell: &Cell) -> Value {
     let queues = cell.queues().into_iter().map(|(name, (open, waiting))| {
         value!({ "queue": name.as_str(), "open": open, "waiting": waiting })
@@ -83,7 +86,7 @@
     value!({ "queues": sorted(queues), "pools": sorted(pools) })
 }
 
-/// One job, for operators; `None` if there is no such job.
+/// View of a job for operators; `None` if there is no such job.
 pub(crate) fn job_view(cell: &Cell, id: JobId) -> Option<Value> {
     let job = cell.job(id)?;
     let runs = job.runs.iter().map(|r| {
--- a/crates/node/tests/overload.rs
+++ b/crates/node/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What a front refuses by itself.
+//! Jobs that a front end refuses without asking the owner.
 
 use std::time::Duration;
 
@@ -12,14 +12,15 @@
     Duration::from_millis(ms)
 }
 
-/// Of a job that runs for a second, with an objective of 2.2 s.
+/// Slack of a job that runs for 1 s and has an objective of 2.2 s.
 const SLACK: Slack = Slack {
     timely: ms(1_200),
     useful: ms(5_600),
 };
 
-/// Guards against callers who are refused for longer than the owner's backlog lasts, and against a
-/// front that sends the owner all that it will refuse.
+/// Jobs are refused while the reported waits last and not longer. Otherwise callers would be
+/// refused after the owner's backlog is gone, or the owner would receive every job that it will
+/// refuse.
 #[test]
 fn told_waits_pass() {
     let overload = Overload::default();
@@ -34,7 +35,7 @@
     assert_eq!(overload.excess(NOW.after(ms(1_800)), SLACK), None);
 }
 
-/// Guards against a refusal for want of room while a job can still be of use.
+/// A job is not refused for lack of room while it can still start in time to be useful.
 #[test]
 fn room_is_a_bound() {
     let waits = |room| Waits {
@@ -45,8 +46,8 @@
     assert_eq!(waits(6_000).excess(SLACK), Some(ms(400)));
 }
 
-/// Guards against hundreds of jobs that are accepted while nobody schedules, and against refusals during
-/// a takeover that takes no longer than usual.
+/// Jobs are refused during a long outage of the owner, when hundreds would otherwise be accepted
+/// that never run, but not during a takeover that takes no longer than usual.
 #[test]
 fn silence_is_bounded() {
     let usual = ms(2_300);
