--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -376,8 +376,8 @@
     }
 }
 
-/// Whether the caller may see a job of `team`. A team sees only its own jobs; jobs of public queues
-/// have no team and are visible to everyone.
+/// Whether the caller may see or cancel a job of `team`. A caller with a team is limited to its own
+/// jobs and to jobs without a team. A caller of a public queue has no team and is not limited.
 fn may_see(target: &Target<'_>, team: Option<&TeamName>) -> bool {
     target.team.is_none() || team.is_none() || target.team.as_ref() == team
 }
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -76,7 +76,8 @@
     outage_excess(outage, usual, slack).map(NotStored::NoOwner)
 }
 
-/// Usual duration of a takeover with little state to read, from the expiry of the ownership.
+/// Usual duration of a takeover with little state to read, counted from the expiry of the previous
+/// ownership.
 const TAKEOVER_TIME: Duration = Duration::from_millis(1_500);
 
 /// State of a record: queued, part of an append, or withdrawn by its caller.
@@ -366,7 +367,7 @@
         }
         log::warn!(
             part = self.part.part, seq = self.seq;
-            "append to intake in doubt: the store does not answer"
+            "append to intake in doubt: outcome unknown"
         );
     }
 
