--- a/crates/capacity/src/action.rs
+++ b/crates/capacity/src/action.rs
@@ -17,24 +17,24 @@
         /// The worker.
         worker: WorkerId,
         /// Whether lasting work leaves it too.
-        evacuate: bool,
+        evict: bool,
     },
     /// Give a worker work again.
     Reopen(WorkerId),
     /// Remember that a wave was first seen now: its time counts from here, whoever plans it.
-    Began {
+    RecordWaveStart {
         /// The wave.
         wave: u64,
     },
     /// Remember that an instance had its maintenance.
-    Maintained {
+    RecordMaintained {
         /// The wave.
         wave: u64,
         /// The instance.
         instance: InstanceName,
     },
     /// Tell the operators how far a wave is.
-    Status {
+    ReportStatus {
         /// The wave.
         wave: u64,
         /// Whether every instance of it had its maintenance.
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -9,18 +9,18 @@
 use crate::snapshot::Snapshot;
 
 /// Time that a fresh worker may take to be listed and looked at.
-const ARRIVAL: Duration = Duration::from_millis(2_500);
+const WORKER_STARTUP: Duration = Duration::from_millis(2_500);
 
 /// An order that was given and not yet seen through.
 #[derive(Debug, Clone)]
-pub(crate) struct Ordered {
+pub(crate) struct PendingOrder {
     pub(crate) order: InstanceOrder,
     /// When it was given first.
-    pub(crate) at: Time,
+    pub(crate) updated: Time,
     /// The platform has confirmed it.
-    pub(crate) certain: bool,
+    pub(crate) confirmed: bool,
     /// It is on the way, and no answer has come yet.
-    pub(crate) flying: bool,
+    pub(crate) in_flight: bool,
     pub(crate) worker: Option<cactuswheel_work::WorkerId>,
 }
 
@@ -34,11 +34,11 @@
     /// Its worker takes no more work.
     Closing(&'a WorkerView),
     /// Will serve this pool soon.
-    Coming(ServiceName),
+    Arriving(ServiceName),
     /// Under maintenance, or on its way to where it is off.
-    Away,
+    Unavailable,
     /// Its worker cannot be used, and nothing is known of why.
-    Dark,
+    Unreachable,
 }
 
 /// An instance with its standing.
@@ -49,18 +49,18 @@
 }
 
 /// Since when each instance is up without a worker that can be used.
-pub(crate) type Unseen = Map<InstanceName, Time>;
+pub(crate) type UnusableSince = Map<InstanceName, Time>;
 
 /// The standing of every instance.
-pub(crate) fn members<'a>(
+pub(crate) fn classify<'a>(
     snapshot: &'a Snapshot<'_>,
-    ordered: &Map<InstanceName, Ordered>,
-    unseen: &mut Unseen,
+    pending_orders: &Map<InstanceName, PendingOrder>,
+    unusable_since: &mut UnusableSince,
 ) -> Vec<Member<'a>> {
     let instances = snapshot.instances.iter();
     let members = instances.map(|instance| Member {
         instance,
-        eligibility: eligibility(snapshot, instance, ordered, unseen),
+        eligibility: eligibility(snapshot, instance, pending_orders, unusable_since),
     });
     members.collect()
 }
@@ -68,19 +68,19 @@
 fn eligibility<'a>(
     snapshot: &'a Snapshot<'_>,
     instance: &Instance,
-    ordered: &Map<InstanceName, Ordered>,
-    unseen: &mut Unseen,
+    pending_orders: &Map<InstanceName, PendingOrder>,
+    unusable_since: &mut UnusableSince,
 ) -> Eligibility<'a> {
-    if let Some(given) = ordered.get(&instance.name) {
-        return on_the_way(snapshot, instance, &given.order);
+    if let Some(pending) = pending_orders.get(&instance.name) {
+        return pending_eligibility(snapshot, instance, &pending.order);
     }
-    let coming = match snapshot.spare.contains(&instance.pool) {
-        true => Eligibility::Away,
-        false => Eligibility::Coming(instance.pool.clone()),
+    let arriving = match snapshot.spare.contains(&instance.pool) {
+        true => Eligibility::Unavailable,
+        false => Eligibility::Arriving(instance.pool.clone()),
     };
     match instance.state {
-        InstanceState::Moving | InstanceState::Maintained => return coming,
-        InstanceState::Down => return Eligibility::Dark,
+        InstanceState::Moving | InstanceState::Maintained => return arriving,
+        InstanceState::Down => return Eligibility::Unreachable,
         InstanceState::Up => {}
     }
     if snapshot.spare.contains(&instance.pool) {
@@ -91,20 +91,22 @@
         .as_ref()
         .and_then(|id| snapshot.workers.get(id));
     if let Some(view) = worker.filter(|v| v.open || v.closing) {
-        unseen.remove(&instance.name);
+        unusable_since.remove(&instance.name);
         return match view.closing {
             true => Eligibility::Closing(view),
             false => Eligibility::Serving(view),
         };
     }
-    let since = *unseen.entry(instance.name.clone()).or_insert(snapshot.now);
-    match snapshot.now.since(since) < ARRIVAL {
-        true => Eligibility::Coming(instance.pool.clone()),
-        false => Eligibility::Dark,
+    let since = *unusable_since
+        .entry(instance.name.clone())
+        .or_insert(snapshot.now);
+    match snapshot.now.since(since) < WORKER_STARTUP {
+        true => Eligibility::Arriving(instance.pool.clone()),
+        false => Eligibility::Unreachable,
     }
 }
 
-fn on_the_way<'a>(
+fn pending_eligibility<'a>(
     snapshot: &Snapshot<'_>,
     instance: &Instance,
     order: &InstanceOrder,
@@ -114,7 +116,7 @@
         InstanceOrder::Maintain { .. } => &instance.pool,
     };
     match snapshot.spare.contains(pool) {
-        true => Eligibility::Away,
-        false => Eligibility::Coming(pool.clone()),
+        true => Eligibility::Unavailable,
+        false => Eligibility::Arriving(pool.clone()),
     }
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -23,7 +23,7 @@
 mod waves;
 
 pub use action::Action;
-pub use history::{LastOwner, MAX_EXPIRY, OrderRecord, Reserved, reserved};
-pub use planner::{History, Planner, Times};
+pub use history::{LastOwner, MAX_EXPIRY, OrderRecord, Reservation, reservations};
+pub use planner::{History, Planner, Timings};
 pub use policy::PoolPolicy;
 pub use snapshot::Snapshot;
--- a/crates/capacity/src/moves.rs
+++ b/crates/capacity/src/moves.rs
@@ -21,26 +21,26 @@
         &mut self,
         pools: &mut Map<&ServiceName, Pool<'a>>,
         spare: &mut Vec<&'a Member<'a>>,
-        taken: &mut Set<InstanceName>,
+        claimed: &mut Set<InstanceName>,
         actions: &mut Vec<Action>,
     ) {
-        let short = pools.iter().filter(|(_, p)| p.target > p.have());
+        let short = pools.iter().filter(|(_, p)| p.target > p.current());
         let mut short: Vec<(bool, usize, ServiceName)> = short
-            .map(|(s, p)| (p.lacks(), p.target - p.have(), (*s).clone()))
+            .map(|(s, p)| (p.below_minimum(), p.target - p.current(), (*s).clone()))
             .collect();
         short.sort_by(|a, b| b.cmp(a));
         for (_, mut missing, service) in short {
-            missing -= self.reopen(pools.get_mut(&service), missing, taken, actions);
+            missing -= self.reopen(pools.get_mut(&service), missing, claimed, actions);
             while missing > 0 {
                 // What another pool is about to send away goes there by one move instead of two.
                 let member = self
-                    .borrow(pools, &service, taken, |p| p.keep)
+                    .take_surplus(pools, &service, claimed, |p| p.keep)
                     .or_else(|| Some((self.take_spare(spare, &service)?, None)))
-                    .or_else(|| self.borrow(pools, &service, taken, |p| p.target));
+                    .or_else(|| self.take_surplus(pools, &service, claimed, |p| p.target));
                 let Some((member, worker)) = member else {
                     break;
                 };
-                taken.insert(member.instance.name.clone());
+                claimed.insert(member.instance.name.clone());
                 missing -= 1;
                 actions.push(Action::Order {
                     order: InstanceOrder::Move {
@@ -67,33 +67,33 @@
     fn reopen(
         &self,
         pool: Option<&mut Pool<'_>>,
-        most: usize,
-        taken: &mut Set<InstanceName>,
+        limit: usize,
+        claimed: &mut Set<InstanceName>,
         actions: &mut Vec<Action>,
     ) -> usize {
         let Some(pool) = pool else {
             return 0;
         };
-        let leaving = pool.closing.iter();
-        let leaving = leaving.filter(|(m, v)| {
-            let free = !taken.contains(&m.instance.name) && !v.spent && !v.evacuated;
-            free && !self.waves.emptying.contains(&v.worker)
+        let candidates = pool.closing.iter();
+        let candidates = candidates.filter(|(m, v)| {
+            let free = !claimed.contains(&m.instance.name) && !v.spent && !v.evacuated;
+            free && !self.waves.draining.contains(&v.worker)
         });
-        let chosen: Vec<_> = leaving.take(most).map(|(m, v)| (*m, *v)).collect();
+        let chosen: Vec<_> = candidates.take(limit).map(|(m, v)| (*m, *v)).collect();
         for (member, view) in &chosen {
-            taken.insert(member.instance.name.clone());
+            claimed.insert(member.instance.name.clone());
             actions.push(Action::Reopen(view.worker.clone()));
         }
         chosen.len()
     }
 
     /// An empty instance of a pool that has more than it needs, as `need` has it.
-    fn borrow<'a>(
+    fn take_surplus<'a>(
         &self,
         pools: &mut Map<&ServiceName, Pool<'a>>,
         to: &ServiceName,
-        taken: &Set<InstanceName>,
-        need: impl Fn(&Pool<'_>) -> usize,
+        claimed: &Set<InstanceName>,
+        needed: impl Fn(&Pool<'_>) -> usize,
     ) -> Option<(&'a Member<'a>, Option<WorkerId>)> {
         for (service, pool) in pools.iter_mut() {
             if *service == to {
@@ -101,14 +101,14 @@
             }
             let free = |m: &Member<'_>, v: &WorkerView| {
                 let here = v.runs == 0 && !v.evacuated;
-                here && !taken.contains(&m.instance.name) && self.fits(m, to)
+                here && !claimed.contains(&m.instance.name) && self.fits(m, to)
             };
-            let leaving = pool.closing.iter().position(|(m, v)| free(m, v));
-            if let Some(at) = leaving {
+            let closed = pool.closing.iter().position(|(m, v)| free(m, v));
+            if let Some(at) = closed {
                 let (member, view) = pool.closing.remove(at);
                 return Some((member, Some(view.worker.clone())));
             }
-            if pool.have() <= need(pool) {
+            if pool.current() <= needed(pool) {
                 continue;
             }
             let idle = pool.serving.iter().position(|(m, v)| free(m, v));
@@ -126,64 +126,64 @@
         &self,
         pools: &mut Map<&ServiceName, Pool<'_>>,
         snapshot: &Snapshot<'_>,
-        idle: Idle,
-        taken: &mut Set<InstanceName>,
+        unused: Unused,
+        claimed: &mut Set<InstanceName>,
         actions: &mut Vec<Action>,
     ) {
-        let off = snapshot.spare.first();
-        if off.is_none() && pools.values().all(|p| p.target <= p.have()) {
+        let spare_pool = snapshot.spare.first();
+        if spare_pool.is_none() && pools.values().all(|p| p.target <= p.current()) {
             return;
         }
-        let mut leaving = Leaving {
-            off,
-            room: idle.may_leave(pools, self.policy.leaving),
+        let mut budget = ReleaseBudget {
+            spare_pool,
+            remaining: unused.release_quota(pools, self.policy.release_share),
         };
         for pool in pools.values() {
-            self.let_closing_go(pool, &mut leaving, taken, actions);
-            self.let_surplus_go(pool, &mut leaving, taken, actions);
+            self.release_closing(pool, &mut budget, claimed, actions);
+            self.release_surplus(pool, &mut budget, claimed, actions);
         }
     }
 
     /// Instances that were closed go when they are empty.
-    fn let_closing_go(
+    fn release_closing(
         &self,
         pool: &Pool<'_>,
-        leaving: &mut Leaving<'_>,
-        taken: &mut Set<InstanceName>,
+        budget: &mut ReleaseBudget<'_>,
+        claimed: &mut Set<InstanceName>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(off) = leaving.off else {
+        let Some(spare_pool) = budget.spare_pool else {
             return;
         };
         for (member, view) in pool.closing.iter().filter(|(_, v)| v.runs == 0) {
             let name = &member.instance.name;
-            if leaving.room > 0
-                && self.fits(member, off)
-                && !self.waves.emptying.contains(&view.worker)
-                && taken.insert(name.clone())
+            if budget.remaining > 0
+                && self.fits(member, spare_pool)
+                && !self.waves.draining.contains(&view.worker)
+                && claimed.insert(name.clone())
             {
-                leaving.room -= 1;
-                actions.push(move_order(name, off, view));
+                budget.remaining -= 1;
+                actions.push(move_order(name, spare_pool, view));
             }
         }
     }
 
     /// A pool's instances beyond those that it keeps go; those that are busy are closed first.
-    fn let_surplus_go(
+    fn release_surplus(
         &self,
         pool: &Pool<'_>,
-        leaving: &mut Leaving<'_>,
-        taken: &mut Set<InstanceName>,
+        budget: &mut ReleaseBudget<'_>,
+        claimed: &mut Set<InstanceName>,
         actions: &mut Vec<Action>,
     ) {
-        let mut surplus = pool.have().saturating_sub(pool.keep);
+        let mut surplus = pool.current().saturating_sub(pool.keep);
         let idle = pool.serving.iter().filter(|(_, v)| v.lasting == 0);
         let mut idle: Vec<_> = idle.collect();
         // An instance that is off has its maintenance at no cost.
         idle.sort_by_key(|(_, v)| {
             (
                 v.runs > 0,
-                !self.due.contains(&v.worker),
+                !self.maintenance_due.contains(&v.worker),
                 v.runs,
                 v.used.cpu,
             )
@@ -193,23 +193,25 @@
             if surplus == 0 {
                 return;
             }
-            let fits = leaving.off.is_none_or(|off| self.fits(member, off));
-            if !fits || taken.contains(name) {
+            let fits = budget
+                .spare_pool
+                .is_none_or(|spare_pool| self.fits(member, spare_pool));
+            if !fits || claimed.contains(name) {
                 continue;
             }
-            let action = match leaving.off.filter(|_| view.runs == 0) {
-                Some(_) if leaving.room == 0 => return,
-                Some(off) => {
-                    leaving.room -= 1;
-                    move_order(name, off, view)
+            let action = match budget.spare_pool.filter(|_| view.runs == 0) {
+                Some(_) if budget.remaining == 0 => return,
+                Some(spare_pool) => {
+                    budget.remaining -= 1;
+                    move_order(name, spare_pool, view)
                 }
                 None => Action::Close {
                     worker: view.worker.clone(),
-                    evacuate: false,
+                    evict: false,
                 },
             };
             surplus -= 1;
-            taken.insert(name.clone());
+            claimed.insert(name.clone());
             actions.push(action);
         }
     }
@@ -221,35 +223,35 @@
 }
 
 /// Where instances go that no pool wants, and how many may set out now.
-struct Leaving<'a> {
-    off: Option<&'a ServiceName>,
-    room: usize,
+struct ReleaseBudget<'a> {
+    spare_pool: Option<&'a ServiceName>,
+    remaining: usize,
 }
 
 /// Instances that no pool uses, beside those in the pools.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Idle {
+pub(super) struct Unused {
     /// They are off and can be had at once.
     pub(super) spare: usize,
     /// They are on their way to being off.
-    pub(super) leaving: usize,
+    pub(super) releasing: usize,
 }
 
 /// Instances that may always be on their way to being off.
-const LEAVE_ANYWAY: usize = 8;
+const MIN_RELEASES: usize = 8;
 
-impl Idle {
+impl Unused {
     /// How many more may set out to be off.
     ///
     /// Failure: one pool's work ends as another's begins, all the instances of the first are on
     /// their way to being off, and the second waits for them twice as long as a move takes. At
     /// most half of what no pool uses is on its way at a time; the rest goes straight to the
     /// pool that wants it, by one move instead of two.
-    fn may_leave(self, pools: &Map<&ServiceName, Pool<'_>>, part: f64) -> usize {
+    fn release_quota(self, pools: &Map<&ServiceName, Pool<'_>>, share: f64) -> usize {
         let idle: usize = pools.values().map(Pool::idle).sum();
-        let unused = self.spare + self.leaving + idle;
-        let most = ((unused as f64 * part) as usize).max(LEAVE_ANYWAY);
-        most.saturating_sub(self.leaving)
+        let unused = self.spare + self.releasing + idle;
+        let limit = ((unused as f64 * share) as usize).max(MIN_RELEASES);
+        limit.saturating_sub(self.releasing)
     }
 }
 
--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -8,8 +8,8 @@
 };
 
 use crate::action::Action;
-use crate::fleet::{Eligibility, Member, Ordered, Unseen, members};
-use crate::moves::Idle;
+use crate::fleet::{Eligibility, Member, PendingOrder, UnusableSince, classify};
+use crate::moves::Unused;
 use crate::policy::PoolPolicy;
 use crate::pool::{Pool, log_pools};
 use crate::snapshot::Snapshot;
@@ -30,9 +30,9 @@
 
 /// Times that the platform sets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Times {
+pub struct Timings {
     /// Time that maintenance takes.
-    pub maintaining: Millis,
+    pub maintenance: Millis,
 }
 
 /// What earlier planners have had remembered.
@@ -44,49 +44,49 @@
     ///
     /// Failure: the time of a wave counts anew from each change of owners, nothing presses, and
     /// the operators' deadline passes with instances left.
-    pub begun: Vec<(u64, Time)>,
+    pub wave_starts: Vec<(u64, Time)>,
 }
 
 /// Plans moves and maintenance of instances.
 #[derive(Debug)]
 pub struct Planner {
-    times: Times,
+    times: Timings,
     pub(crate) policy: PoolPolicy,
     pub(crate) trends: Map<ServiceName, Trend>,
-    ordered: Map<InstanceName, Ordered>,
-    unseen: Unseen,
+    pending_orders: Map<InstanceName, PendingOrder>,
+    unusable_since: UnusableSince,
     pub(crate) waves: Waves,
     /// Instances that cannot serve a pool.
     pub(crate) unfit: Map<ServiceName, Set<InstanceName>>,
     /// Workers on instances that are to be maintained before long.
-    pub(crate) due: Set<WorkerId>,
+    pub(crate) maintenance_due: Set<WorkerId>,
     /// When it planned first, and whether the pools were at work then.
-    pub(crate) first: Option<(Time, bool)>,
+    pub(crate) first_plan: Option<(Time, bool)>,
     /// When the pools were last told of in the log.
-    logged: Time,
+    last_logged: Time,
 }
 
 impl Planner {
     /// A planner that knows nothing but what earlier ones have had remembered.
-    pub fn new(times: Times, past: History) -> Self {
+    pub fn new(times: Timings, past: History) -> Self {
         let mut waves = Waves::default();
         for (wave, instance) in past.maintained {
-            waves.note(wave, instance);
+            waves.mark_done(wave, instance);
         }
-        for (wave, at) in past.begun {
-            waves.begin(wave, at);
+        for (wave, at) in past.wave_starts {
+            waves.record_start(wave, at);
         }
         Self {
             times,
             policy: PoolPolicy::default(),
             trends: Map::default(),
-            ordered: Map::default(),
-            unseen: Unseen::default(),
+            pending_orders: Map::default(),
+            unusable_since: UnusableSince::default(),
             waves,
             unfit: Map::default(),
-            due: Set::default(),
-            first: None,
-            logged: Time::default(),
+            maintenance_due: Set::default(),
+            first_plan: None,
+            last_logged: Time::default(),
         }
     }
 
@@ -96,39 +96,39 @@
     }
 
     /// Workers on instances that are to be maintained before long, as of the last plan.
-    pub fn due(&self) -> &Set<WorkerId> {
-        &self.due
+    pub fn maintenance_due(&self) -> &Set<WorkerId> {
+        &self.maintenance_due
     }
 
     /// What became of an order.
-    pub fn ordered(&mut self, now: Time, instance: &InstanceName, outcome: InstanceOutcome) {
-        let Some(given) = self.ordered.get_mut(instance) else {
+    pub fn record_outcome(&mut self, now: Time, instance: &InstanceName, outcome: InstanceOutcome) {
+        let Some(pending) = self.pending_orders.get_mut(instance) else {
             return;
         };
-        given.flying = false;
+        pending.in_flight = false;
         match outcome {
             InstanceOutcome::Done => {
-                given.certain = true;
-                given.at = now;
+                pending.confirmed = true;
+                pending.updated = now;
             }
-            InstanceOutcome::Unknown => given.at = now,
+            InstanceOutcome::Unknown => pending.updated = now,
             InstanceOutcome::Invalid => {
-                if let InstanceOrder::Move { pool, .. } = &given.order {
+                if let InstanceOrder::Move { pool, .. } = &pending.order {
                     let unfit = self.unfit.entry(pool.clone()).or_default();
                     unfit.insert(instance.clone());
                 }
-                self.ordered.remove(instance);
+                self.pending_orders.remove(instance);
             }
             InstanceOutcome::OtherWave => {
-                if let InstanceOrder::Maintain { wave, .. } = &given.order {
+                if let InstanceOrder::Maintain { wave, .. } = &pending.order {
                     // It is not of the wave any more, so the wave does not wait for it.
                     let wave = *wave;
-                    self.waves.note(wave, instance.clone());
+                    self.waves.mark_done(wave, instance.clone());
                 }
-                self.ordered.remove(instance);
+                self.pending_orders.remove(instance);
             }
             InstanceOutcome::Fence | InstanceOutcome::Busy | InstanceOutcome::Refused(_) => {
-                self.ordered.remove(instance);
+                self.pending_orders.remove(instance);
             }
         }
     }
@@ -140,15 +140,15 @@
             return Vec::new();
         }
         let mut actions = self.track_orders(snapshot);
-        actions.extend(self.waves.begin_all(snapshot));
-        let all = members(snapshot, &self.ordered, &mut self.unseen);
+        actions.extend(self.waves.start_new_waves(snapshot));
+        let all = classify(snapshot, &self.pending_orders, &mut self.unusable_since);
         let waves = self.waves.members(snapshot.waves, &all);
         let targets = self.targets(snapshot);
         let mut pools: Map<&ServiceName, Pool<'_>> = Map::default();
         for (service, share) in &targets {
             let pool = pools.entry(service).or_default();
             (pool.target, pool.keep) = (share.target, share.keep);
-            pool.least = share.least;
+            pool.minimum = share.minimum;
         }
         let mut spare = Vec::new();
         for member in &all {
@@ -159,45 +159,45 @@
                 Eligibility::Spare => spare.push(member),
                 Eligibility::Serving(view) => pool.or_default().serving.push((member, view)),
                 Eligibility::Closing(view) => pool.or_default().closing.push((member, view)),
-                Eligibility::Coming(to) => {
+                Eligibility::Arriving(to) => {
                     if let Some(to) = targets.get_key_value(to).map(|(s, _)| s) {
-                        pools.entry(to).or_default().coming += 1;
+                        pools.entry(to).or_default().arriving += 1;
                     }
                 }
-                Eligibility::Away | Eligibility::Dark => {}
+                Eligibility::Unavailable | Eligibility::Unreachable => {}
             }
         }
-        let tell = now.since(self.logged) >= LOG_EVERY;
-        if tell {
-            self.logged = now;
+        let log_due = now.since(self.last_logged) >= LOG_EVERY;
+        if log_due {
+            self.last_logged = now;
             log_pools(&pools, spare.len());
         }
-        let mut taken: Set<InstanceName> = actions.iter().filter_map(ordered_instance).collect();
-        taken.extend(snapshot.reserved.keys().cloned());
-        self.maintain(true, snapshot, &waves, &pools, &mut taken, &mut actions);
-        spare.retain(|m| !taken.contains(&m.instance.name));
+        let mut claimed: Set<InstanceName> = actions.iter().filter_map(ordered_instance).collect();
+        claimed.extend(snapshot.reserved.keys().cloned());
+        self.plan_waves(true, snapshot, &waves, &pools, &mut claimed, &mut actions);
+        spare.retain(|m| !claimed.contains(&m.instance.name));
         // Those that a wave still wants stay where their maintenance is free.
-        let left = waves.iter().flat_map(|w| &w.left);
-        let wanted: Set<&InstanceName> = left.map(|m| &m.instance.name).collect();
-        spare.sort_by_cached_key(|m| wanted.contains(&m.instance.name));
-        self.grow(&mut pools, &mut spare, &mut taken, &mut actions);
-        self.maintain(false, snapshot, &waves, &pools, &mut taken, &mut actions);
-        let idle = Idle {
+        let remaining = waves.iter().flat_map(|w| &w.remaining);
+        let awaiting: Set<&InstanceName> = remaining.map(|m| &m.instance.name).collect();
+        spare.sort_by_cached_key(|m| awaiting.contains(&m.instance.name));
+        self.grow(&mut pools, &mut spare, &mut claimed, &mut actions);
+        self.plan_waves(false, snapshot, &waves, &pools, &mut claimed, &mut actions);
+        let unused = Unused {
             spare: spare.len(),
-            leaving: self.leaving(snapshot, &all),
+            releasing: self.count_releasing(snapshot, &all),
         };
-        self.shrink(&mut pools, snapshot, idle, &mut taken, &mut actions);
+        self.shrink(&mut pools, snapshot, unused, &mut claimed, &mut actions);
         for action in &actions {
-            self.note(now, action);
+            self.track_order(now, action);
         }
         actions
     }
 
     /// Instances on their way to where they are off.
-    fn leaving(&self, snapshot: &Snapshot<'_>, all: &[Member<'_>]) -> usize {
-        let leaving = all.iter().filter(|m| {
-            let ordered = self.ordered.get(&m.instance.name).map(|o| &o.order);
-            match ordered {
+    fn count_releasing(&self, snapshot: &Snapshot<'_>, all: &[Member<'_>]) -> usize {
+        let releasing = all.iter().filter(|m| {
+            let pending = self.pending_orders.get(&m.instance.name).map(|o| &o.order);
+            match pending {
                 Some(InstanceOrder::Move { pool, .. }) => snapshot.spare.contains(pool),
                 Some(InstanceOrder::Maintain { .. }) => false,
                 None => {
@@ -206,42 +206,42 @@
                 }
             }
         });
-        leaving.count()
+        releasing.count()
     }
 
     /// Waves that are pressing go before what pools want, the others after it.
-    fn maintain(
+    fn plan_waves(
         &mut self,
-        pressing: bool,
+        urgent: bool,
         snapshot: &Snapshot<'_>,
         waves: &[WaveMembers<'_>],
         pools: &Map<&ServiceName, Pool<'_>>,
-        taken: &mut Set<InstanceName>,
+        claimed: &mut Set<InstanceName>,
         actions: &mut Vec<Action>,
     ) {
-        let short = pools.iter().filter(|(_, p)| p.target > p.have());
-        let short: Set<&ServiceName> = short.map(|(s, _)| *s).collect();
+        let short = pools.iter().filter(|(_, p)| p.target > p.current());
+        let short_pools: Set<&ServiceName> = short.map(|(s, _)| *s).collect();
         let context = WaveContext {
             now: snapshot.now,
-            maintaining: self.times.maintaining.duration(),
-            ordered: &self.ordered,
+            maintenance: self.times.maintenance.duration(),
+            pending_orders: &self.pending_orders,
             reserved: snapshot.reserved,
-            short: &short,
+            short_pools: &short_pools,
         };
-        if pressing {
-            self.due.clear();
+        if urgent {
+            self.maintenance_due.clear();
         }
         for wave in waves {
-            if pressing {
-                self.due.extend(Waves::due(wave));
+            if urgent {
+                self.maintenance_due.extend(Waves::workers_due(wave));
             }
-            if pressing && self.logged == snapshot.now {
+            if urgent && self.last_logged == snapshot.now {
                 self.waves.log(wave, snapshot.now);
             }
-            if self.waves.is_pressing(wave, &context) == pressing {
-                let wanted = self.waves.plan(wave, &context, pressing, taken);
-                taken.extend(wanted.iter().filter_map(ordered_instance));
-                actions.extend(wanted);
+            if self.waves.is_urgent(wave, &context) == urgent {
+                let planned = self.waves.plan(wave, &context, urgent, claimed);
+                claimed.extend(planned.iter().filter_map(ordered_instance));
+                actions.extend(planned);
             }
         }
     }
@@ -250,8 +250,8 @@
     fn track_orders(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
         let now = snapshot.now;
         let mut actions = Vec::new();
-        let mut over = Vec::new();
-        let listed: Map<&InstanceName, InstanceState> = match self.ordered.is_empty() {
+        let mut finished = Vec::new();
+        let listed: Map<&InstanceName, InstanceState> = match self.pending_orders.is_empty() {
             true => Map::default(),
             false => snapshot
                 .instances
@@ -259,50 +259,50 @@
                 .map(|i| (&i.name, i.state))
                 .collect(),
         };
-        for (name, given) in &mut self.ordered {
+        for (name, pending) in &mut self.pending_orders {
             let Some(state) = listed.get(name) else {
-                over.push(name.clone());
+                finished.push(name.clone());
                 continue;
             };
-            if given.flying {
+            if pending.in_flight {
                 continue;
             }
-            if !given.certain {
-                if now.since(given.at) >= RETRY_PAUSE {
-                    given.flying = true;
+            if !pending.confirmed {
+                if now.since(pending.updated) >= RETRY_PAUSE {
+                    pending.in_flight = true;
                     actions.push(Action::Order {
-                        order: given.order.clone(),
-                        worker: given.worker.clone(),
+                        order: pending.order.clone(),
+                        worker: pending.worker.clone(),
                     });
                 }
                 continue;
             }
-            let settled = snapshot.listed > given.at
+            let settled = snapshot.listed > pending.updated
                 && matches!(state, InstanceState::Up | InstanceState::Down);
-            if settled || now.since(given.at) > ORDER_TTL {
-                over.push(name.clone());
-                if let InstanceOrder::Maintain { instance, wave } = &given.order {
-                    actions.push(Action::Maintained {
+            if settled || now.since(pending.updated) > ORDER_TTL {
+                finished.push(name.clone());
+                if let InstanceOrder::Maintain { instance, wave } = &pending.order {
+                    actions.push(Action::RecordMaintained {
                         wave: *wave,
                         instance: instance.clone(),
                     });
                 }
             }
         }
-        for name in over {
-            self.ordered.remove(&name);
-            self.unseen.remove(&name);
+        for name in finished {
+            self.pending_orders.remove(&name);
+            self.unusable_since.remove(&name);
         }
         for action in &actions {
-            if let Action::Maintained { wave, instance } = action {
-                self.waves.note(*wave, instance.clone());
+            if let Action::RecordMaintained { wave, instance } = action {
+                self.waves.mark_done(*wave, instance.clone());
             }
         }
         actions
     }
 
     /// Remembers what is ordered, so that it is not ordered twice.
-    fn note(&mut self, now: Time, action: &Action) {
+    fn track_order(&mut self, now: Time, action: &Action) {
         let Action::Order { order, worker } = action else {
             return;
         };
@@ -312,15 +312,17 @@
             }
         };
         if let Some(worker) = worker {
-            self.waves.emptying.remove(worker);
+            self.waves.draining.remove(worker);
         }
-        self.ordered.entry(name).or_insert_with(|| Ordered {
-            order: order.clone(),
-            at: now,
-            certain: false,
-            flying: true,
-            worker: worker.clone(),
-        });
+        self.pending_orders
+            .entry(name)
+            .or_insert_with(|| PendingOrder {
+                order: order.clone(),
+                updated: now,
+                confirmed: false,
+                in_flight: true,
+                worker: worker.clone(),
+            });
     }
 }
 
--- a/crates/capacity/src/pool.rs
+++ b/crates/capacity/src/pool.rs
@@ -10,14 +10,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Pool<'a> {
     /// Instances without which lasting work has no place.
-    pub(crate) least: usize,
+    pub(crate) minimum: usize,
     /// Instances wanted now.
     pub(crate) target: usize,
     /// Instances that are kept.
     pub(crate) keep: usize,
     pub(crate) serving: Vec<(&'a Member<'a>, &'a WorkerView)>,
     pub(crate) closing: Vec<(&'a Member<'a>, &'a WorkerView)>,
-    pub(crate) coming: usize,
+    pub(crate) arriving: usize,
 }
 
 impl Pool<'_> {
@@ -25,18 +25,18 @@
     pub(crate) fn idle(&self) -> usize {
         let empty = |v: &WorkerView| v.runs == 0;
         let serving = self.serving.iter().filter(|(_, v)| empty(v)).count();
-        let surplus = self.have().saturating_sub(self.target);
+        let surplus = self.current().saturating_sub(self.target);
         let closing = self.closing.iter().filter(|(_, v)| empty(v)).count();
         serving.min(surplus) + closing
     }
 
     /// Whether lasting work lacks a place.
-    pub(crate) fn lacks(&self) -> bool {
-        self.have() < self.least
+    pub(crate) fn below_minimum(&self) -> bool {
+        self.current() < self.minimum
     }
 
-    pub(crate) fn have(&self) -> usize {
-        self.serving.len() + self.coming
+    pub(crate) fn current(&self) -> usize {
+        self.serving.len() + self.arriving
     }
 }
 
@@ -48,7 +48,7 @@
         log::info!(
             service:% = service, target = pool.target as u64, keep = pool.keep as u64,
             serving = pool.serving.len() as u64, closing = pool.closing.len() as u64,
-            coming = pool.coming as u64, busy = busy as u64, used_cores = used / 1_000,
+            coming = pool.arriving as u64, busy = busy as u64, used_cores = used / 1_000,
             spare = spare as u64;
             "pool"
         );
--- a/crates/capacity/src/rate.rs
+++ b/crates/capacity/src/rate.rs
@@ -18,10 +18,10 @@
 
 /// Jobs that a queue gets in a second.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Flow {
+pub(crate) struct ArrivalRate {
     pub(crate) rate: f64,
     /// There are fewer of late than before, and chance does not explain it.
-    pub(crate) fell: bool,
+    pub(crate) declining: bool,
 }
 
 /// How many jobs a queue gets.
@@ -31,37 +31,37 @@
 /// shorter window holds more or fewer jobs than chance explains, the load has changed, and the
 /// shorter one counts: a queue that turns busy or falls silent shows within a quarter of a second.
 #[derive(Debug, Default)]
-pub(crate) struct Rate {
+pub(crate) struct RateEstimator {
     /// Jobs that had arrived by then.
-    seen: VecDeque<(Time, u64)>,
+    samples: VecDeque<(Time, u64)>,
 }
 
-impl Rate {
+impl RateEstimator {
     /// Takes in the jobs that have arrived; gives how many come in a second.
     ///
     /// `doubt` is the number of standard deviations that chance may explain.
-    pub(crate) fn count(&mut self, now: Time, arrivals: &Arrivals, doubt: f64) -> Flow {
-        if self.seen.is_empty() {
-            self.remember(&arrivals.earlier);
+    pub(crate) fn update(&mut self, now: Time, arrivals: &Arrivals, sigmas: f64) -> ArrivalRate {
+        if self.samples.is_empty() {
+            self.seed(&arrivals.earlier);
         }
         let jobs = arrivals.jobs;
-        self.seen.push_back((now, jobs));
-        while self.seen.len() > 2 && now.since(self.seen[1].0) >= WINDOWS[0] {
-            self.seen.pop_front();
+        self.samples.push_back((now, jobs));
+        while self.samples.len() > 2 && now.since(self.samples[1].0) >= WINDOWS[0] {
+            self.samples.pop_front();
         }
-        let (span, count) = self.within(now, jobs, WINDOWS[0]);
-        let usual = count / span;
-        let mut rate = usual;
+        let (span, count) = self.count_within(now, jobs, WINDOWS[0]);
+        let baseline = count / span;
+        let mut rate = baseline;
         for window in &WINDOWS[1..] {
-            let (span, count) = self.within(now, jobs, *window);
-            let own = count / span;
-            if !is_chance(count, rate * span, doubt) {
-                rate = own;
+            let (span, count) = self.count_within(now, jobs, *window);
+            let observed = count / span;
+            if !is_noise(count, rate * span, sigmas) {
+                rate = observed;
             }
         }
-        Flow {
+        ArrivalRate {
             rate,
-            fell: rate < usual,
+            declining: rate < baseline,
         }
     }
 
@@ -69,18 +69,18 @@
     ///
     /// Failure: a new owner knows of no arrivals, takes a queue in its busiest second for a silent
     /// one, and sends the instances away that its jobs wait for.
-    fn remember(&mut self, earlier: &[Time]) {
+    fn seed(&mut self, earlier: &[Time]) {
         let mut times = earlier.to_vec();
         times.sort_unstable();
         let counts = times.into_iter().zip(0..);
-        self.seen.extend(counts);
+        self.samples.extend(counts);
     }
 
     /// Seconds that a window covers, and the jobs that have arrived in them.
-    fn within(&self, now: Time, jobs: u64, window: Duration) -> (f64, f64) {
-        let mut before = self.seen.iter().rev();
+    fn count_within(&self, now: Time, jobs: u64, window: Duration) -> (f64, f64) {
+        let mut before = self.samples.iter().rev();
         let first = before.find(|(at, _)| now.since(*at) >= window);
-        let first = first.or(self.seen.front());
+        let first = first.or(self.samples.front());
         let (at, earlier) = first.copied().unwrap_or((now, jobs));
         let shortest = WINDOWS[WINDOWS.len() - 1];
         let span = now.since(at).max(shortest.min(window));
@@ -89,9 +89,9 @@
 }
 
 /// Whether `count` jobs where `expected` were to be expected may be chance.
-fn is_chance(count: f64, expected: f64, doubt: f64) -> bool {
+fn is_noise(count: f64, expected: f64, sigmas: f64) -> bool {
     // The bounds on the mean of a Poisson count.
-    let middle = count + doubt * doubt / 2.0;
-    let width = doubt * (count + doubt * doubt / 4.0).sqrt();
-    (middle - width..=middle + width).contains(&expected)
+    let center = count + sigmas * sigmas / 2.0;
+    let width = sigmas * (count + sigmas * sigmas / 4.0).sqrt();
+    (center - width..=center + width).contains(&expected)
 }
--- a/crates/capacity/src/share.rs
+++ b/crates/capacity/src/share.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Share {
     /// Instances without which lasting work has no place.
-    pub(crate) least: usize,
+    pub(crate) minimum: usize,
     /// Instances wanted now.
     pub(crate) target: usize,
     /// Instances that it keeps.
@@ -26,26 +26,26 @@
 ///
 /// Failure: an outage leaves thousands of late tasks, their pool takes every spare instance, and
 /// the next queue that turns busy finds none. What is left over in the pool does them too.
-pub(crate) fn divide(shares: &mut Map<ServiceName, Share>, usable: usize, overdue: f64) {
-    let most = (usable as f64 * overdue).ceil() as usize;
+pub(crate) fn divide(shares: &mut Map<ServiceName, Share>, usable: usize, overdue_share: f64) {
+    let limit = (usable as f64 * overdue_share).ceil() as usize;
     let wanted: usize = shares.values().map(|s| s.target).sum();
     if wanted <= usable {
-        let mut left = usable - wanted;
+        let mut remaining = usable - wanted;
         for share in shares.values_mut() {
-            let more = share.overdue.min(left).min(most);
-            left -= more;
-            share.target += more;
+            let extra = share.overdue.min(remaining).min(limit);
+            remaining -= extra;
+            share.target += extra;
             share.keep = share.keep.max(share.target);
         }
         return;
     }
-    let least: usize = shares.values().map(|s| s.least).sum();
-    let beyond = |s: &Share| s.target.saturating_sub(s.least);
-    let asked: usize = shares.values().map(beyond).sum();
-    let left = usable.saturating_sub(least);
+    let minimum: usize = shares.values().map(|s| s.minimum).sum();
+    let excess = |s: &Share| s.target.saturating_sub(s.minimum);
+    let requested: usize = shares.values().map(excess).sum();
+    let remaining = usable.saturating_sub(minimum);
     for share in shares.values_mut() {
-        let part = beyond(share) * left / asked.max(1);
-        share.target = share.target.min(share.least + part);
+        let portion = excess(share) * remaining / requested.max(1);
+        share.target = share.target.min(share.minimum + portion);
         share.keep = share.target;
     }
 }
--- a/crates/capacity/src/targets.rs
+++ b/crates/capacity/src/targets.rs
@@ -13,37 +13,42 @@
 
 /// Time for which a new planner sends no instance away from a pool at work: it does not know yet
 /// what comes in.
-const YOUNG: Duration = Duration::from_millis(2_000);
+const WARM_UP: Duration = Duration::from_millis(2_000);
 
 impl Planner {
     /// Whether this planner has taken over pools at work too lately to know what they need.
-    fn is_young(&mut self, snapshot: &Snapshot<'_>) -> bool {
+    fn is_warming_up(&mut self, snapshot: &Snapshot<'_>) -> bool {
         let working = || snapshot.loads.values().any(|l| l.used.cpu > 0);
-        let (first, taken) = *self.first.get_or_insert_with(|| (snapshot.now, working()));
-        taken && snapshot.now.since(first) < YOUNG
+        let (first, took_over) = *self
+            .first_plan
+            .get_or_insert_with(|| (snapshot.now, working()));
+        took_over && snapshot.now.since(first) < WARM_UP
     }
 
     /// Instances that each pool wants now, and those that it keeps.
     pub(crate) fn targets(&mut self, snapshot: &Snapshot<'_>) -> Map<ServiceName, Share> {
-        let open = open_workers(snapshot);
-        let units = units(snapshot);
-        let any = snapshot.instances.first().map(|i| i.room);
-        let young = self.is_young(snapshot);
+        let serving_counts = count_serving(snapshot);
+        let sizes = instance_sizes(snapshot);
+        let fallback = snapshot.instances.first().map(|i| i.room);
+        let warming_up = self.is_warming_up(snapshot);
         let loads = snapshot.loads.iter();
         let loads = loads.filter(|(s, _)| !snapshot.spare.contains(s));
         let mut shares: Map<ServiceName, Share> = loads
             .map(|(service, load)| {
                 let load = &*without_evacuated(service, load, snapshot);
-                let unit = units.get(service).copied().or(any).unwrap_or_default();
+                let unit = sizes.get(service).copied().or(fallback).unwrap_or_default();
                 let trend = self.trends.entry(service.clone()).or_default();
-                let serving = open.get(service).copied().unwrap_or_default();
-                let need = trend.need(snapshot.now, load, unit, serving, &self.policy);
-                let target = need.target.max(least(load));
+                let serving = serving_counts.get(service).copied().unwrap_or_default();
+                let need = trend.update(snapshot.now, load, unit, serving, &self.policy);
+                let target = need.target.max(min_instances(load));
                 let share = Share {
-                    least: least(load).max(trend.for_lasting(load, unit)),
+                    minimum: min_instances(load).max(trend.lasting_instances(load, unit)),
                     target,
-                    keep: need.keep.max(target).max(if young { serving } else { 0 }),
-                    overdue: trend.for_overdue(load, unit),
+                    keep: need
+                        .keep
+                        .max(target)
+                        .max(if warming_up { serving } else { 0 }),
+                    overdue: trend.overdue_instances(load, unit),
                 };
                 (service.clone(), share)
             })
@@ -52,7 +57,7 @@
         let usable = usable.filter(|i| i.state != InstanceState::Down);
         let usable = usable.filter(|i| !snapshot.evacuated.contains(&i.zone));
         let usable = usable.count();
-        divide(&mut shares, usable, self.policy.overdue);
+        divide(&mut shares, usable, self.policy.overdue_share);
         shares
     }
 }
@@ -77,24 +82,24 @@
 }
 
 /// Least number of instances of a pool that has work at all.
-fn least(load: &Load) -> usize {
+fn min_instances(load: &Load) -> usize {
     usize::from(load.queues > 0).max(load.spread)
 }
 
 /// Workers of each service that take work.
-fn open_workers<'a>(snapshot: &'a Snapshot<'_>) -> Map<&'a ServiceName, usize> {
-    let mut found: Map<&ServiceName, usize> = Map::default();
+fn count_serving<'a>(snapshot: &'a Snapshot<'_>) -> Map<&'a ServiceName, usize> {
+    let mut counts: Map<&ServiceName, usize> = Map::default();
     for worker in snapshot.workers.values().filter(|w| w.open && !w.closing) {
-        *found.entry(&worker.service).or_default() += 1;
+        *counts.entry(&worker.service).or_default() += 1;
     }
-    found
+    counts
 }
 
 /// Size of each pool's instances.
-fn units<'a>(snapshot: &'a Snapshot<'_>) -> Map<&'a ServiceName, Room> {
-    let mut found: Map<&ServiceName, Room> = Map::default();
+fn instance_sizes<'a>(snapshot: &'a Snapshot<'_>) -> Map<&'a ServiceName, Room> {
+    let mut sizes: Map<&ServiceName, Room> = Map::default();
     for instance in snapshot.instances {
-        found.entry(&instance.pool).or_insert(instance.room);
+        sizes.entry(&instance.pool).or_insert(instance.room);
     }
-    found
+    sizes
 }
--- a/crates/capacity/src/trend.rs
+++ b/crates/capacity/src/trend.rs
@@ -8,21 +8,21 @@
 use cactuswheel_work::{QueueName, Room};
 
 use crate::policy::PoolPolicy;
-use crate::rate::Rate;
+use crate::rate::RateEstimator;
 
 /// Thousandths of a core.
-const MILLI: u64 = 1_000;
+const MILLICORES: u64 = 1_000;
 
 /// Run time of a task, in milliseconds, where none waits to tell it.
-const USUAL_RUN: u64 = 1_000;
+const DEFAULT_RUN_MS: u64 = 1_000;
 
 /// Times as long as others that instances are kept which chance may ask for again.
-const CHANCE_HOLD: u32 = 2;
+const NOISE_HOLD_FACTOR: u32 = 2;
 
 /// How much one pool is asked for, now and lately.
 #[derive(Debug, Default)]
 pub(crate) struct Trend {
-    rates: Map<QueueName, Rate>,
+    rates: Map<QueueName, RateEstimator>,
     /// Targets of late.
     targets: VecDeque<(Time, usize)>,
 }
@@ -43,7 +43,7 @@
     /// for when an instance can be there is the runs that go on until then, the later steps of
     /// jobs that have begun, what waits by then for want of room, and what comes in meanwhile. What is
     /// over by then needs no instance now, and what is asked for later can be ordered later.
-    pub(crate) fn need(
+    pub(crate) fn update(
         &mut self,
         now: Time,
         load: &Load,
@@ -51,20 +51,21 @@
         serving: usize,
         policy: &PoolPolicy,
     ) -> Need {
-        let (asked, fell) = self.asked(now, load, unit, serving, policy);
-        let busy = !load.waiting.is_empty() || asked[SLOTS - 1] > units(load.lasting, unit);
+        let (demand, declining) = self.demand(now, load, unit, serving, policy);
+        let busy =
+            !load.waiting.is_empty() || demand[SLOTS - 1] > instances_for(load.lasting, unit);
         let reserve = if busy { policy.reserve } else { 0.0 };
-        let instances = |asked: f64| (asked * policy.gaps + reserve).ceil() as usize;
-        let arrival = slot(policy.arrival);
-        let target = instances(asked[arrival]);
+        let instances = |demand: f64| (demand * policy.headroom + reserve).ceil() as usize;
+        let lead = slot_of(policy.lead_time);
+        let target = instances(demand[lead]);
         self.targets.push_back((now, target));
-        let long = policy.hold.duration() * CHANCE_HOLD;
-        while self.targets.len() > 1 && now.since(self.targets[0].0) > long {
+        let window = policy.hold_time.duration() * NOISE_HOLD_FACTOR;
+        while self.targets.len() > 1 && now.since(self.targets[0].0) > window {
             self.targets.pop_front();
         }
         Need {
             target,
-            keep: self.keep(now, policy, fell),
+            keep: self.keep(now, policy, declining),
         }
     }
 
@@ -75,26 +76,26 @@
     /// seconds, and one instance or two go to and fro with it; nobody's work is faster for it.
     ///
     /// Where `fell`, fewer jobs come than before, so the highest target of late says nothing.
-    fn keep(&self, now: Time, policy: &PoolPolicy, fell: bool) -> usize {
-        let within = |time: Duration| {
-            let late = self
+    fn keep(&self, now: Time, policy: &PoolPolicy, declining: bool) -> usize {
+        let peak = |time: Duration| {
+            let recent = self
                 .targets
                 .iter()
                 .filter(move |(at, _)| now.since(*at) <= time);
-            late.map(|(_, t)| *t).max().unwrap_or_default()
+            recent.map(|(_, t)| *t).max().unwrap_or_default()
         };
-        let hold = policy.hold.duration();
-        let short = match fell {
-            true => within(Duration::ZERO),
-            false => within(hold),
+        let hold = policy.hold_time.duration();
+        let short = match declining {
+            true => peak(Duration::ZERO),
+            false => peak(hold),
         };
-        let chance = (short as f64).sqrt() as usize;
-        within(hold * CHANCE_HOLD).min(short + chance).max(short)
+        let noise = (short as f64).sqrt() as usize;
+        peak(hold * NOISE_HOLD_FACTOR).min(short + noise).max(short)
     }
 
     /// Instances, in fractions, that are asked for in each slot from now on, and whether fewer
     /// jobs come than before.
-    fn asked(
+    fn demand(
         &mut self,
         now: Time,
         load: &Load,
@@ -102,81 +103,81 @@
         serving: usize,
         policy: &PoolPolicy,
     ) -> ([f64; SLOTS], bool) {
-        let mut fell = false;
+        let mut declining = false;
         let rates = load.arrivals.iter().map(|(queue, arrivals)| {
             let rate = self.rates.entry(queue.clone()).or_default();
-            let flow = rate.count(now, arrivals, policy.doubt);
-            fell |= flow.fell;
-            (flow.rate, &arrivals.course)
+            let estimate = rate.update(now, arrivals, policy.sigmas);
+            declining |= estimate.declining;
+            (estimate.rate, &arrivals.course)
         });
         let rates: Vec<_> = rates.collect();
         // Lasting work keeps its places, and what of it waits asks for its own room only once.
-        let lasting = units(load.lasting, unit);
-        let room = (serving as f64 / policy.gaps - lasting).max(0.0);
-        let arrival = slot(policy.arrival);
-        let mut asked = [0.0; SLOTS];
-        let mut coming = Room::default();
-        let slots = run_slots(load);
-        let mut delayed = 0.0;
-        for (slot, asked) in asked.iter_mut().enumerate() {
+        let lasting = instances_for(load.lasting, unit);
+        let room = (serving as f64 / policy.headroom - lasting).max(0.0);
+        let lead = slot_of(policy.lead_time);
+        let mut demand = [0.0; SLOTS];
+        let mut incoming = Room::default();
+        let run_time = run_slots(load);
+        let mut backlog = 0.0;
+        for (slot, demand) in demand.iter_mut().enumerate() {
             for (rate, course) in &rates {
-                coming += share(course.at(slot), rate * SLOT_MS as f64 / 1_000.0);
+                incoming += scale(course.at(slot), rate * SLOT_MS as f64 / 1_000.0);
             }
-            let short = load.forecast.at(slot) + coming;
+            let transient = load.forecast.at(slot) + incoming;
             // What could not start asks for its room all at once, for as long as its tasks run;
             // those that would be running still are in what is known already.
-            let over = (slot as f64 - slots).max(0.0) / slot.max(1) as f64;
-            *asked = units(load.lasting + short, unit) + over * delayed / slots;
-            delayed = match slot < arrival {
-                true => (delayed + units(short, unit) - room).max(0.0),
+            let finished = (slot as f64 - run_time).max(0.0) / slot.max(1) as f64;
+            *demand = instances_for(load.lasting + transient, unit) + finished * backlog / run_time;
+            backlog = match slot < lead {
+                true => (backlog + instances_for(transient, unit) - room).max(0.0),
                 false => 0.0,
             };
         }
-        (asked, fell)
+        (demand, declining)
     }
 
     /// Instances that hold the lasting work.
-    pub(crate) fn for_lasting(&self, load: &Load, unit: Room) -> usize {
-        units(load.lasting, unit).ceil() as usize
+    pub(crate) fn lasting_instances(&self, load: &Load, unit: Room) -> usize {
+        instances_for(load.lasting, unit).ceil() as usize
     }
 
     /// Instances that work takes which is of no use any more.
-    pub(crate) fn for_overdue(&self, load: &Load, unit: Room) -> usize {
-        units(load.overdue, unit).ceil() as usize
+    pub(crate) fn overdue_instances(&self, load: &Load, unit: Room) -> usize {
+        instances_for(load.overdue, unit).ceil() as usize
     }
 }
 
 /// Slots that a waiting task runs for.
 fn run_slots(load: &Load) -> f64 {
-    let cores = load.waiting.cpu / MILLI;
+    let cores = load.waiting.cpu / MILLICORES;
     let time = match cores {
-        0 => USUAL_RUN,
+        0 => DEFAULT_RUN_MS,
         _ => load.work / cores,
     };
     (time as f64 / SLOT_MS as f64).max(1.0)
 }
 
-fn slot(time: Millis) -> usize {
+fn slot_of(time: Millis) -> usize {
     let slot = time.get() / SLOT_MS;
     (slot as usize).min(SLOTS - 1)
 }
 
-fn share(room: Room, times: f64) -> Room {
-    let share = |amount: u64| (amount as f64 * times) as u64;
+fn scale(room: Room, times: f64) -> Room {
+    let scaled = |amount: u64| (amount as f64 * times) as u64;
     Room {
-        cpu: share(room.cpu),
-        memory: share(room.memory),
-        gpu: share(room.gpu),
+        cpu: scaled(room.cpu),
+        memory: scaled(room.memory),
+        gpu: scaled(room.gpu),
     }
 }
 
 /// Instances of size `unit` that hold `room`, in fractions.
-fn units(room: Room, unit: Room) -> f64 {
-    let part = |a: u64, b: u64| match b {
+fn instances_for(room: Room, unit: Room) -> f64 {
+    let ratio = |a: u64, b: u64| match b {
         0 => 0.0,
         _ => a as f64 / b as f64,
     };
-    let cpu = part(room.cpu, unit.cpu);
-    let memory = part(room.memory, unit.memory);
-    cpu.max(memory).max(part(room.gpu, unit.gpu))
+    let cpu = ratio(room.cpu, unit.cpu);
+    let memory = ratio(room.memory, unit.memory);
+    cpu.max(memory).max(ratio(room.gpu, unit.gpu))
 }
--- a/crates/capacity/src/waves.rs
+++ b/crates/capacity/src/waves.rs
@@ -10,41 +10,41 @@
 use cactuswheel_work::{InstanceName, InstanceOrder, InstanceState, ServiceName, Wave, WorkerId};
 
 use crate::action::Action;
-use crate::fleet::{Eligibility, Member, Ordered};
+use crate::fleet::{Eligibility, Member, PendingOrder};
 use crate::snapshot::Snapshot;
 
 /// Time from closing a worker to the end of its instance's maintenance, beside the maintenance
 /// itself: short work ends, and lasting work starts elsewhere, one task after the other.
-const LEAVING: Duration = Duration::from_millis(4_000);
+const DRAIN_TIME: Duration = Duration::from_millis(4_000);
 
 /// Instances of one wave that are emptied at a time while there is time enough.
-const MIN_EMPTYING: usize = 2;
+const MIN_DRAINING: usize = 2;
 
 /// Time between two instances' maintenance, for orders and lists to go their way.
-const TURN: Duration = Duration::from_millis(700);
+const TURNAROUND: Duration = Duration::from_millis(700);
 
 /// How much earlier than that a wave goes first: under load it takes longer to empty workers.
-const EARLIER: f64 = 1.6;
+const URGENCY_FACTOR: f64 = 1.6;
 
 /// Instances of a wave that a line in the log names.
-const MAX_NAMED: usize = 4;
+const MAX_LOGGED: usize = 4;
 
 /// What a wave is planned from.
 pub(crate) struct WaveContext<'a> {
     pub(crate) now: Time,
     /// Time that maintenance takes.
-    pub(crate) maintaining: Duration,
-    pub(crate) ordered: &'a Map<InstanceName, Ordered>,
+    pub(crate) maintenance: Duration,
+    pub(crate) pending_orders: &'a Map<InstanceName, PendingOrder>,
     /// Instances that an earlier owner ordered of late, with the wave if it was for one.
     pub(crate) reserved: &'a Map<InstanceName, Option<u64>>,
     /// Pools that want more instances than they have.
-    pub(crate) short: &'a Set<&'a ServiceName>,
+    pub(crate) short_pools: &'a Set<&'a ServiceName>,
 }
 
 impl WaveContext<'_> {
     /// Whether an instance's pool wants more instances than it has.
-    fn is_short(&self, member: &Member<'_>) -> bool {
-        self.short.contains(&member.instance.pool)
+    fn is_pool_short(&self, member: &Member<'_>) -> bool {
+        self.short_pools.contains(&member.instance.pool)
     }
 }
 
@@ -53,7 +53,7 @@
     pub(crate) wave: &'a Wave,
     members: Vec<&'a Member<'a>>,
     /// Those that did not have their maintenance.
-    pub(crate) left: Vec<&'a Member<'a>>,
+    pub(crate) remaining: Vec<&'a Member<'a>>,
 }
 
 impl WaveMembers<'_> {
@@ -61,12 +61,12 @@
     ///
     /// Failure: a new owner counts its own orders only, and with those of the earlier one too many
     /// instances of the wave are down at once.
-    fn foreign(&self, context: &WaveContext<'_>) -> usize {
+    fn earlier_orders(&self, context: &WaveContext<'_>) -> usize {
         let members = self.members.iter().map(|m| m.instance);
-        let others = members.filter(|i| !context.ordered.contains_key(&i.name));
+        let others = members.filter(|i| !context.pending_orders.contains_key(&i.name));
         let down = others.filter(|i| {
-            let ordered = context.reserved.get(&i.name) == Some(&Some(self.wave.number));
-            i.state == InstanceState::Maintained || ordered
+            let for_wave = context.reserved.get(&i.name) == Some(&Some(self.wave.number));
+            i.state == InstanceState::Maintained || for_wave
         });
         down.count()
     }
@@ -78,32 +78,32 @@
     /// Instances that had their maintenance, by wave.
     pub(crate) done: Map<u64, Set<InstanceName>>,
     /// When each wave was first seen.
-    seen: Map<u64, Time>,
+    started: Map<u64, Time>,
     /// Waves that the operators were told of, and whether as complete.
-    told: Map<u64, bool>,
+    reported: Map<u64, bool>,
     /// Workers that are emptied for a wave.
-    pub(crate) emptying: Set<WorkerId>,
+    pub(crate) draining: Set<WorkerId>,
 }
 
 impl Waves {
     /// An instance had its maintenance.
-    pub(crate) fn note(&mut self, wave: u64, instance: InstanceName) {
+    pub(crate) fn mark_done(&mut self, wave: u64, instance: InstanceName) {
         self.done.entry(wave).or_default().insert(instance);
     }
 
     /// A wave was first seen at `at`; false if it is known already.
-    pub(crate) fn begin(&mut self, wave: u64, at: Time) -> bool {
-        match self.seen.contains_key(&wave) {
+    pub(crate) fn record_start(&mut self, wave: u64, at: Time) -> bool {
+        match self.started.contains_key(&wave) {
             true => false,
-            false => self.seen.insert(wave, at).is_none(),
+            false => self.started.insert(wave, at).is_none(),
         }
     }
 
     /// The time of waves that were not seen before begins.
-    pub(crate) fn begin_all(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
+    pub(crate) fn start_new_waves(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
         let numbers = snapshot.waves.iter().map(|w| w.number);
-        let fresh = numbers.filter(|n| self.begin(*n, snapshot.now));
-        fresh.map(|wave| Action::Began { wave }).collect()
+        let fresh = numbers.filter(|n| self.record_start(*n, snapshot.now));
+        fresh.map(|wave| Action::RecordWaveStart { wave }).collect()
     }
 
     /// The instances of each wave.
@@ -112,83 +112,83 @@
         waves: &'a [Wave],
         all: &'a [Member<'a>],
     ) -> Vec<WaveMembers<'a>> {
-        let of = |wave: &'a Wave| {
+        let select = |wave: &'a Wave| {
             let names: Set<&InstanceName> = wave.instances.iter().collect();
             let members = all.iter().filter(|m| names.contains(&m.instance.name));
             let members: Vec<&Member<'a>> = members.collect();
             let done = self.done.get(&wave.number);
             let open = |m: &&&Member<'a>| done.is_none_or(|d| !d.contains(&m.instance.name));
-            let left = members.iter().filter(open).copied().collect();
+            let remaining = members.iter().filter(open).copied().collect();
             WaveMembers {
                 wave,
                 members,
-                left,
+                remaining,
             }
         };
-        waves.iter().map(of).collect()
+        waves.iter().map(select).collect()
     }
 
     /// Whether a wave has so little time left that it goes before what pools want.
-    pub(crate) fn is_pressing(&self, of: &WaveMembers<'_>, context: &WaveContext<'_>) -> bool {
-        let (wave, left) = (of.wave, of.left.len());
-        let rounds = left.div_ceil(wave.cap.max(1) as usize) as u32;
-        let needed = (context.maintaining + TURN) * rounds + LEAVING;
-        left > 0 && self.time(wave, context.now) < needed.mul_f64(EARLIER)
+    pub(crate) fn is_urgent(&self, members: &WaveMembers<'_>, context: &WaveContext<'_>) -> bool {
+        let (wave, remaining) = (members.wave, members.remaining.len());
+        let rounds = remaining.div_ceil(wave.cap.max(1) as usize) as u32;
+        let needed = (context.maintenance + TURNAROUND) * rounds + DRAIN_TIME;
+        remaining > 0 && self.time_left(wave, context.now) < needed.mul_f64(URGENCY_FACTOR)
     }
 
     /// What a wave needs now.
     pub(crate) fn plan(
         &mut self,
-        of: &WaveMembers<'_>,
+        members: &WaveMembers<'_>,
         context: &WaveContext<'_>,
-        pressing: bool,
-        taken: &Set<InstanceName>,
+        urgent: bool,
+        claimed: &Set<InstanceName>,
     ) -> Vec<Action> {
-        let (wave, left) = (of.wave, &of.left);
-        let mut actions = self.tell(wave, left.is_empty());
-        let of_wave = |o: &&Ordered| match &o.order {
+        let (wave, remaining) = (members.wave, &members.remaining);
+        let mut actions = self.report_status(wave, remaining.is_empty());
+        let of_wave = |o: &&PendingOrder| match &o.order {
             InstanceOrder::Maintain { wave: number, .. } => *number == wave.number,
             InstanceOrder::Move { .. } => false,
         };
-        let under_way = context.ordered.values().filter(of_wave).count();
-        let under_way = under_way + of.foreign(context);
-        let mut room = (wave.cap as usize).saturating_sub(under_way);
-        for member in left {
-            if room == 0 {
+        let in_progress = context.pending_orders.values().filter(of_wave).count();
+        let in_progress = in_progress + members.earlier_orders(context);
+        let mut free_slots = (wave.cap as usize).saturating_sub(in_progress);
+        for member in remaining {
+            if free_slots == 0 {
                 return actions;
             }
-            if taken.contains(&member.instance.name) {
+            if claimed.contains(&member.instance.name) {
                 continue;
             }
             let worker = match &member.eligibility {
                 Eligibility::Spare => None,
-                Eligibility::Serving(_) if !pressing && context.is_short(member) => continue,
+                Eligibility::Serving(_) if !urgent && context.is_pool_short(member) => continue,
                 Eligibility::Serving(view) | Eligibility::Closing(view) if view.runs == 0 => {
                     Some(view.worker.clone())
                 }
                 _ => continue,
             };
-            room -= 1;
+            free_slots -= 1;
             let order = InstanceOrder::Maintain {
                 instance: member.instance.name.clone(),
                 wave: wave.number,
             };
             actions.push(Action::Order { order, worker });
         }
-        let time = self.time(wave, context.now);
-        actions.extend(self.empty_workers(wave, context, time, left, pressing));
+        let time = self.time_left(wave, context.now);
+        actions.extend(self.drain_workers(wave, context, time, remaining, urgent));
         actions
     }
 
     /// Time until the wave has to be done.
-    fn time(&self, wave: &Wave, now: Time) -> Duration {
-        let seen = self.seen.get(&wave.number).copied().unwrap_or(now);
-        wave.within.duration().saturating_sub(now.since(seen))
+    fn time_left(&self, wave: &Wave, now: Time) -> Duration {
+        let start = self.started.get(&wave.number).copied().unwrap_or(now);
+        wave.within.duration().saturating_sub(now.since(start))
     }
 
     /// Workers on instances that a wave has yet to maintain.
-    pub(crate) fn due(of: &WaveMembers<'_>) -> Vec<WorkerId> {
-        let workers = of.left.iter().filter_map(|m| match &m.eligibility {
+    pub(crate) fn workers_due(wave: &WaveMembers<'_>) -> Vec<WorkerId> {
+        let workers = wave.remaining.iter().filter_map(|m| match &m.eligibility {
             Eligibility::Serving(view) | Eligibility::Closing(view) => Some(view.worker.clone()),
             _ => None,
         });
@@ -196,67 +196,67 @@
     }
 
     /// Says what is left of a wave, and why it waits.
-    pub(crate) fn log(&self, of: &WaveMembers<'_>, now: Time) {
-        let (wave, left) = (of.wave, &of.left);
-        if left.is_empty() {
+    pub(crate) fn log(&self, members: &WaveMembers<'_>, now: Time) {
+        let (wave, remaining) = (members.wave, &members.remaining);
+        if remaining.is_empty() {
             return;
         }
-        let count = |of: fn(&Eligibility<'_>) -> bool| {
-            let found = left.iter().filter(|m| of(&m.eligibility));
+        let count = |test: fn(&Eligibility<'_>) -> bool| {
+            let found = remaining.iter().filter(|m| test(&m.eligibility));
             found.count() as u64
         };
-        let first = left.iter().map(|m| m.instance.name.as_str());
-        let first: Vec<&str> = first.take(MAX_NAMED).collect();
+        let first = remaining.iter().map(|m| m.instance.name.as_str());
+        let first: Vec<&str> = first.take(MAX_LOGGED).collect();
         log::info!(
-            wave = wave.number, left = left.len() as u64,
-            ms = self.time(wave, now).as_millis() as u64,
+            wave = wave.number, left = remaining.len() as u64,
+            ms = self.time_left(wave, now).as_millis() as u64,
             spare = count(|s| matches!(s, Eligibility::Spare)),
             serving = count(|s| matches!(s, Eligibility::Serving(_))),
             closing = count(|s| matches!(s, Eligibility::Closing(_))),
-            coming = count(|s| matches!(s, Eligibility::Coming(_) | Eligibility::Away)),
-            dark = count(|s| matches!(s, Eligibility::Dark)), first:? = first;
+            coming = count(|s| matches!(s, Eligibility::Arriving(_) | Eligibility::Unavailable)),
+            dark = count(|s| matches!(s, Eligibility::Unreachable)), first:? = first;
             "wave"
         );
     }
 
     /// Tells the operators when a wave begins and when it is complete.
-    fn tell(&mut self, wave: &Wave, complete: bool) -> Vec<Action> {
-        if self.told.insert(wave.number, complete) == Some(complete) {
+    fn report_status(&mut self, wave: &Wave, complete: bool) -> Vec<Action> {
+        if self.reported.insert(wave.number, complete) == Some(complete) {
             return Vec::new();
         }
-        vec![Action::Status {
+        vec![Action::ReportStatus {
             wave: wave.number,
             complete,
         }]
     }
 
     /// Workers that get no more work, so that their instances can have their maintenance.
-    fn empty_workers(
+    fn drain_workers(
         &mut self,
         wave: &Wave,
         context: &WaveContext<'_>,
         time: Duration,
-        left: &[&Member<'_>],
-        pressing: bool,
+        remaining: &[&Member<'_>],
+        urgent: bool,
     ) -> Vec<Action> {
-        let emptying = left.iter().filter(|m| match &m.eligibility {
-            Eligibility::Closing(view) => self.emptying.contains(&view.worker),
+        let draining = remaining.iter().filter(|m| match &m.eligibility {
+            Eligibility::Closing(view) => self.draining.contains(&view.worker),
             _ => false,
         });
-        let emptying = emptying.count();
+        let draining = draining.count();
         // Workers without lasting work are left to their pools as long as there is time: most are
         // empty before the wave is over, and their maintenance then takes nothing from anybody.
-        let slow = |m: &&&Member<'_>| match &m.eligibility {
-            Eligibility::Serving(view) | Eligibility::Closing(view) => pressing || view.lasting > 0,
+        let needs_drain = |m: &&&Member<'_>| match &m.eligibility {
+            Eligibility::Serving(view) | Eligibility::Closing(view) => urgent || view.lasting > 0,
             _ => false,
         };
-        let round = (LEAVING + context.maintaining).as_millis() as f64;
+        let round = (DRAIN_TIME + context.maintenance).as_millis() as f64;
         let rounds = (time.as_millis() as f64 / round).max(1.0);
-        let pace = (left.iter().filter(slow).count() as f64 / rounds).ceil() as usize;
+        let pace = (remaining.iter().filter(needs_drain).count() as f64 / rounds).ceil() as usize;
         // Lasting work takes seconds to leave, so it begins whatever is under maintenance now, and
         // also in a pool that is short: a worker that holds it has little room for other work.
-        let wanted = pace.max(MIN_EMPTYING).min(wave.cap as usize);
-        let busy = left.iter().filter(slow);
+        let target = pace.max(MIN_DRAINING).min(wave.cap as usize);
+        let busy = remaining.iter().filter(needs_drain);
         let mut busy: Vec<_> = busy
             .filter_map(|m| match &m.eligibility {
                 Eligibility::Serving(view) => Some(*view),
@@ -266,13 +266,13 @@
         // A budget lets the tasks of a step leave one after the other, so those with the most of
         // them take the longest.
         busy.sort_by_key(|v| (std::cmp::Reverse(v.lasting), v.used.cpu));
-        let chosen = busy.into_iter().take(wanted.saturating_sub(emptying));
+        let chosen = busy.into_iter().take(target.saturating_sub(draining));
         let chosen: Vec<WorkerId> = chosen.map(|v| v.worker.clone()).collect();
         let actions = chosen.into_iter().map(|worker| {
-            self.emptying.insert(worker.clone());
+            self.draining.insert(worker.clone());
             Action::Close {
                 worker,
-                evacuate: true,
+                evict: true,
             }
         });
         actions.collect()
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -336,8 +336,8 @@
         Some(LastOwner {
             life: last.life,
             clock: Time::new(last.clock),
-            heard: self.owner_clock.at(),
-            since: self.since,
+            last_heard: self.owner_clock.at(),
+            first_heard: self.since,
         })
     }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_adapter::{Instances, Keyed, Partition, STATUS_TOPIC, wave_status};
 use cactuswheel_capacity::{
-    Action, History, LastOwner, OrderRecord, Planner, Reserved, Snapshot, Times, reserved,
+    Action, History, LastOwner, OrderRecord, Planner, Reservation, Snapshot, Timings, reservations,
 };
 use cactuswheel_cell::{Cell, encode};
 use cactuswheel_model::{Map, Time};
@@ -84,7 +84,7 @@
     /// Failure: two owners order one instance within seconds of each other, and it is moved
     /// back and forth under its work. An order is on record before it is given, so what is not
     /// on record here no earlier owner has ordered.
-    reserved: Map<InstanceName, Reserved>,
+    reserved: Map<InstanceName, Reservation>,
     /// Until then no instance may be ordered.
     barred: Time,
     /// Pause after the store has turned the record of orders away.
@@ -105,8 +105,8 @@
         let addr = shared.settings.instances?;
         let service = Arc::new(Instances::new(addr));
         tokio::spawn(list(shared.clone(), service.clone(), events.clone()));
-        let times = Times {
-            maintaining: shared.settings.times.maintaining,
+        let times = Timings {
+            maintenance: shared.settings.times.maintaining,
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
@@ -116,7 +116,7 @@
         let now = shared.clock.now();
         // Nobody knows what was ordered of late: anything may have been.
         let barred = orders.is_none().then(|| now.after(wait));
-        let reserved = reserved(now, wait, orders.unwrap_or_default(), last);
+        let reserved = reservations(now, wait, orders.unwrap_or_default(), last);
         log::info!(
             instances = reserved.len() as u64, dated = last.is_some(), known = barred.is_none();
             "instances reserved"
@@ -159,7 +159,7 @@
             _ => self.backoff.taken(),
         }
         self.planner
-            .ordered(self.shared.clock.now(), name(order), outcome);
+            .record_outcome(self.shared.clock.now(), name(order), outcome);
         let Some(worker) = worker else {
             return;
         };
@@ -203,7 +203,7 @@
         for action in self.planner.plan(&snapshot) {
             self.execute(cell, action, &mut orders);
         }
-        cell.expect_maintenance(self.planner.due());
+        cell.expect_maintenance(self.planner.maintenance_due());
         if !orders.is_empty() && self.orders.send(orders).is_err() {
             log::error!("orders to instances are carried out no more");
         }
@@ -236,18 +236,18 @@
                     },
                 });
             }
-            Action::Close { worker, evacuate } => cell.close(&worker, evacuate),
+            Action::Close { worker, evict } => cell.close(&worker, evict),
             Action::Reopen(worker) => cell.reopen(&worker),
-            Action::Began { wave } => {
+            Action::RecordWaveStart { wave } => {
                 let at = encode(&self.shared.clock.wall());
                 self.waves.write(Keyed::new(wave.to_string(), at));
             }
-            Action::Maintained { wave, instance } => {
+            Action::RecordMaintained { wave, instance } => {
                 log::info!(wave = wave, instance:% = instance; "instance maintained");
                 let key = format!("{wave}/{instance}");
                 self.maintained.write(Keyed::new(key, vec![1]));
             }
-            Action::Status { wave, complete } => {
+            Action::ReportStatus { wave, complete } => {
                 log::info!(wave = wave, complete = complete; "wave told of");
                 let (key, value) = wave_status(wave, complete);
                 self.status.write(Keyed::new(key, value));
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -207,7 +207,7 @@
     fn fault(&self) -> Option<(String, &'static str)> {
         let own = self.own_fault();
         let own = own.map(|(place, fault)| (place.to_owned(), fault));
-        let pools = self.policies.pools.fault();
+        let pools = self.policies.pools.validate();
         own.or(pools.map(|(place, fault)| (format!("policies.pools.{place}"), fault)))
     }
 
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -195,7 +195,7 @@
     let maintained = maintained.iter().filter_map(|i| read_maintained(&i.key));
     let past = History {
         maintained: maintained.collect(),
-        begun: begun.iter().filter_map(|i| read_begun(shared, i)).collect(),
+        wave_starts: begun.iter().filter_map(|i| read_begun(shared, i)).collect(),
     };
     let orders = orders.map(|items| items.iter().filter_map(read_order).collect());
     (past, orders)
