--- a/crates/capacity/src/action.rs
+++ b/crates/capacity/src/action.rs
@@ -1,43 +1,46 @@
-//! What a planner asks for.
+//! Actions that the planner requests.
 
 use cactuswheel_work::{InstanceName, InstanceOrder, WorkerId};
 
-/// What a planner asks for.
+/// An action that the planner requests from its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Give an instance an order. Answer: [`crate::Planner::ordered`].
+    /// Send an order to an instance. The caller reports its outcome with
+    /// [`crate::Planner::record_outcome`].
     Order {
         /// The order.
         order: InstanceOrder,
-        /// The worker on it, which the order ends.
+        /// The worker on the instance, if any; the order terminates it.
         worker: Option<WorkerId>,
     },
-    /// Give a worker no more work; with `evacuate` lasting work leaves it, within its budget.
+    /// Assign no new work to a worker. With `evict`, long-running tasks also leave it, within their
+    /// eviction budget.
     Close {
         /// The worker.
         worker: WorkerId,
-        /// Whether lasting work leaves it too.
+        /// Whether long-running tasks are evicted from the worker.
         evict: bool,
     },
-    /// Give a worker work again.
+    /// Assign work to a closed worker again.
     Reopen(WorkerId),
-    /// Remember that a wave was first seen now: its time counts from here, whoever plans it.
+    /// Store that a wave was first seen now, so that its deadline counts from this moment under
+    /// every later owner too.
     RecordWaveStart {
-        /// The wave.
+        /// Number of the wave.
         wave: u64,
     },
-    /// Remember that an instance had its maintenance.
+    /// Store that an instance had its maintenance.
     RecordMaintained {
-        /// The wave.
+        /// Number of the wave.
         wave: u64,
         /// The instance.
         instance: InstanceName,
     },
-    /// Tell the operators how far a wave is.
+    /// Publish the progress of a wave to the operators.
     ReportStatus {
-        /// The wave.
+        /// Number of the wave.
         wave: u64,
-        /// Whether every instance of it had its maintenance.
+        /// Whether every instance of the wave had its maintenance.
         complete: bool,
     },
 }
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The instances of a fleet by what may be done with each.
+//! Classification of instances by what the planner may do with each.
 
 use std::time::Duration;
 
@@ -8,50 +8,50 @@
 
 use crate::snapshot::Snapshot;
 
-/// Time that a fresh worker may take to be listed and looked at.
+/// Time within which a new worker is expected to be listed and polled for the first time.
 const WORKER_STARTUP: Duration = Duration::from_millis(2_500);
 
-/// An order that was given and not yet seen through.
+/// An order that was issued and that has not been seen to complete.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingOrder {
     pub(crate) order: InstanceOrder,
-    /// When it was given first.
+    /// When the order was issued first, or when the platform's latest response to it arrived.
     pub(crate) updated: Time,
-    /// The platform has confirmed it.
+    /// The platform has confirmed the order.
     pub(crate) confirmed: bool,
-    /// It is on the way, and no answer has come yet.
+    /// The order was sent, and no response has arrived yet.
     pub(crate) in_flight: bool,
     pub(crate) worker: Option<cactuswheel_work::WorkerId>,
 }
 
-/// What may be done with an instance.
+/// What the planner may do with an instance.
 #[derive(Debug, Clone)]
 pub(crate) enum Eligibility<'a> {
-    /// Off, at no cost.
+    /// Powered off in a spare pool, at no cost.
     Spare,
-    /// Its worker takes work.
+    /// Its worker accepts new work.
     Serving(&'a WorkerView),
-    /// Its worker takes no more work.
+    /// Its worker is closed to new work.
     Closing(&'a WorkerView),
     /// Will serve this pool soon.
     Arriving(ServiceName),
-    /// Under maintenance, or on its way to where it is off.
+    /// On its way to a spare pool, or under maintenance in one.
     Unavailable,
-    /// Its worker cannot be used, and nothing is known of why.
+    /// Down, or its worker is unusable for an unknown reason.
     Unreachable,
 }
 
-/// An instance with its standing.
+/// An instance and what the planner may do with it.
 #[derive(Debug, Clone)]
 pub(crate) struct Member<'a> {
     pub(crate) instance: &'a Instance,
     pub(crate) eligibility: Eligibility<'a>,
 }
 
-/// Since when each instance is up without a worker that can be used.
+/// When each instance that is up was first seen without a usable worker.
 pub(crate) type UnusableSince = Map<InstanceName, Time>;
 
-/// The standing of every instance.
+/// Determines the eligibility of every instance.
 pub(crate) fn classify<'a>(
     snapshot: &'a Snapshot<'_>,
     pending_orders: &Map<InstanceName, PendingOrder>,
--- a/crates/capacity/src/history.rs
+++ b/crates/capacity/src/history.rs
@@ -1,4 +1,4 @@
-//! What earlier owners of the cell have ordered, and how long ago.
+//! Orders of earlier cell owners, and their age.
 
 use std::time::Duration;
 
@@ -6,66 +6,71 @@
 use cactuswheel_work::InstanceName;
 use serde::{Deserialize, Serialize};
 
-/// The last order to an instance, as it is on record.
+/// The latest order to an instance, as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// Life of the node that gave it.
+    /// Life of the node that sent the order; a node gets a new one at each start.
     pub life: u64,
-    /// That node's steady clock right before.
+    /// Reading of that node's monotonic clock immediately before it stored the order.
     pub at: Time,
-    /// The wave that it was for, if any.
+    /// The wave that the order was for; `None` if it was a move.
     pub wave: Option<u64>,
 }
 
-/// Longest time for which an owner may still give orders after another has claimed the ownership:
-/// it learns of that with its next renewal, and sends nothing once its last one is older than this.
+/// Longest time for which an owner may still send orders after another node has claimed ownership.
+/// The old owner learns of the claim at its next renewal, and it sends nothing once its last
+/// renewal is older than this.
 pub const MAX_EXPIRY: Duration = Duration::from_millis(2_500);
 
-/// What was last heard of the owner before this one: it dates what that one has put on record.
+/// Latest known state of the previous cell owner. It is used to compute the age of the orders which
+/// that owner stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastOwner {
-    /// Life of its node.
+    /// Life of the previous owner's node.
     pub life: u64,
-    /// Its steady clock when it last wrote that it owns the cell.
+    /// Reading of the previous owner's monotonic clock when it last wrote its ownership record.
     pub clock: Time,
-    /// When that was heard, at the latest, on this node's clock.
+    /// Latest possible time at which this node received that record, on this node's clock.
     pub last_heard: Time,
-    /// When this node first heard of it as the owner, at the latest.
+    /// Latest possible time at which this node first saw that owner, on this node's clock.
     pub first_heard: Time,
 }
 
 impl LastOwner {
-    /// Least time since `order` was put on record.
+    /// Minimum time since `order` was stored.
     ///
-    /// Steady clocks of two nodes have nothing in common, and the time of day may jump. The
-    /// owner's last word ties its clock to this node's.
+    /// Monotonic clocks of two nodes are unrelated, and the wall clock may jump. The last ownership
+    /// record of the previous owner relates its clock to this node's clock.
     pub fn age(self, now: Time, order: &OrderRecord) -> Duration {
         match order.life == self.life {
             true => {
                 let elapsed = now.since(self.last_heard);
-                // One of the two is zero: the order came before the owner's last word or after.
+                // At least one of the two differences is zero, as the order was stored either
+                // before or after the previous owner's last record.
                 (elapsed + self.clock.since(order.at)).saturating_sub(order.at.since(self.clock))
             }
-            // By an owner before that one.
+            // The order comes from an owner before the previous one, which may have sent orders for
+            // up to `MAX_EXPIRY` after the previous owner was first seen.
             false => now.since(self.first_heard).saturating_sub(MAX_EXPIRY),
         }
     }
 }
 
-/// An instance that an earlier owner ordered of late.
+/// Reservation of an instance that an earlier owner ordered recently.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
-    /// Until then nobody else may order it.
+    /// Until this time, on this node's clock, the instance may get no other order.
     pub until: Time,
-    /// The wave that the order was for, if any.
+    /// The wave that the order was for; `None` if it was a move.
     pub wave: Option<u64>,
 }
 
-/// Instances that earlier owners ordered less than `wait` ago.
+/// Returns the instances that earlier owners ordered less than `wait` ago.
 ///
-/// Failure: after each change of owners no instance that was ordered in the last ten seconds was
-/// moved for more than three, while a queue that had just turned busy waited for instances. Each
-/// order has its own time, and counts from there. What nobody can date counts from now.
+/// Each reservation expires according to the age of its own order. Otherwise, after each change of
+/// owners, no instance that was ordered in the last ten seconds would be moved for more than three
+/// seconds, while a queue whose load had just risen waited for instances. An order whose age cannot
+/// be determined counts as stored now.
 pub fn reservations(
     now: Time,
     wait: Duration,
@@ -81,7 +86,7 @@
         }
         let until = now.after(remaining);
         let wave = order.wave;
-        // Orders of several owners may be on record; the newest counts.
+        // Several owners may have stored an order to this instance; the newest one counts.
         if active.get(&name).is_none_or(|r| r.until < until) {
             active.insert(name, Reservation { until, wave });
         }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,12 +1,14 @@
-//! Which instances serve which pool, and when each has its maintenance.
+//! Planner that assigns instances to service pools and schedules their maintenance.
 //!
-//! A pure machine: [`Planner::plan`] takes what the cell and the platform say and gives actions.
-//! It has no clock and does no I/O; whoever carries the actions out tells it the outcomes.
+//! [`Planner::plan`] is a pure state machine: it takes a snapshot of the cell and the platform and
+//! returns actions. It has no clock and does no I/O. Its caller executes the actions and reports
+//! the outcome of orders with [`Planner::record_outcome`].
 //!
-//! Answers demand that goes round between the pools of a fleet: each is asked for several times
-//! its mean for some seconds and for next to nothing in between. An instance in use earns more
-//! than ten times what it costs, so a pool grows at once and with some room to spare; one that
-//! idles costs as much in a second or two as a move, so it leaves after about that time.
+//! The planner is designed for demand that rotates among the pools of a fleet: each pool is asked
+//! for several times its mean load for some seconds, and for almost nothing in between. An instance
+//! in use earns more than ten times what it costs, so a pool grows immediately and with some
+//! headroom. An instance that idles for a second or two costs as much as a move, so it is released
+//! after about that time.
 
 mod action;
 mod fleet;
--- a/crates/capacity/src/moves.rs
+++ b/crates/capacity/src/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of instances: pools that are short grow, those with too many shrink.
+//! Moves of instances: pools below their target grow, and pools with a surplus shrink.
 
 use cactuswheel_cell::WorkerView;
 use cactuswheel_model::{Map, Set};
@@ -11,12 +11,13 @@
 use crate::snapshot::Snapshot;
 
 impl Planner {
-    /// Pools that are short get instances: those about to leave stay, then spare ones come, then
-    /// those that other pools have too many of.
+    /// Adds instances to pools below their target: first by reopening closed workers, then from
+    /// instances that other pools are about to release, then from spare instances, then from
+    /// instances beyond the targets of other pools.
     ///
-    /// Failure: lasting work has no place for ten seconds, because a pool that lacks two
-    /// instances for it comes after one that lacks twenty for a surge. Pools that lack a place
-    /// for lasting work go first.
+    /// Pools that cannot place all their long-running work go first. Otherwise that work waits for
+    /// ten seconds, because a pool that lacks two instances for it comes after one that lacks
+    /// twenty for a surge.
     pub(super) fn grow<'a>(
         &mut self,
         pools: &mut Map<&ServiceName, Pool<'a>>,
@@ -32,7 +33,8 @@
         for (_, mut missing, service) in short {
             missing -= self.reopen(pools.get_mut(&service), missing, claimed, actions);
             while missing > 0 {
-                // What another pool is about to send away goes there by one move instead of two.
+                // An instance that another pool is about to release goes directly to this pool, by
+                // one move instead of two.
                 let member = self
                     .take_surplus(pools, &service, claimed, |p| p.keep)
                     .or_else(|| Some((self.take_spare(spare, &service)?, None)))
@@ -53,17 +55,17 @@
         }
     }
 
-    /// A spare instance that fits a pool.
+    /// Removes and returns a spare instance that fits a pool.
     fn take_spare<'a>(
         &self,
         spare: &mut Vec<&'a Member<'a>>,
         to: &ServiceName,
     ) -> Option<&'a Member<'a>> {
-        let at = spare.iter().position(|m| self.fits(m, to))?;
-        Some(spare.remove(at))
+        let index = spare.iter().position(|m| self.fits(m, to))?;
+        Some(spare.remove(index))
     }
 
-    /// Workers of a pool that were about to leave take work again.
+    /// Reopens up to `limit` closed workers of a pool, and returns their number.
     fn reopen(
         &self,
         pool: Option<&mut Pool<'_>>,
@@ -87,7 +89,8 @@
         chosen.len()
     }
 
-    /// An empty instance of a pool that has more than it needs, as `need` has it.
+    /// Removes and returns an instance without running tasks from a pool that has more than it
+    /// needs, according to `needed`.
     fn take_surplus<'a>(
         &self,
         pools: &mut Map<&ServiceName, Pool<'a>>,
@@ -100,28 +103,28 @@
                 continue;
             }
             let free = |m: &Member<'_>, v: &WorkerView| {
-                let here = v.runs == 0 && !v.evacuated;
-                here && !claimed.contains(&m.instance.name) && self.fits(m, to)
+                let available = v.runs == 0 && !v.evacuated;
+                available && !claimed.contains(&m.instance.name) && self.fits(m, to)
             };
             let closed = pool.closing.iter().position(|(m, v)| free(m, v));
-            if let Some(at) = closed {
-                let (member, view) = pool.closing.remove(at);
+            if let Some(index) = closed {
+                let (member, view) = pool.closing.remove(index);
                 return Some((member, Some(view.worker.clone())));
             }
             if pool.current() <= needed(pool) {
                 continue;
             }
             let idle = pool.serving.iter().position(|(m, v)| free(m, v));
-            if let Some(at) = idle {
-                let (member, view) = pool.serving.remove(at);
+            if let Some(index) = idle {
+                let (member, view) = pool.serving.remove(index);
                 return Some((member, Some(view.worker.clone())));
             }
         }
         None
     }
 
-    /// Pools that have too many let instances go: empty ones at once, busy ones when they are
-    /// empty.
+    /// Releases instances from pools with a surplus: those without running tasks immediately, busy
+    /// ones once their tasks have ended.
     pub(super) fn shrink(
         &self,
         pools: &mut Map<&ServiceName, Pool<'_>>,
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Instances that were closed go when they are empty.
+    /// Releases the instances of closed workers that run no more tasks.
     fn release_closing(
         &self,
         pool: &Pool<'_>,
@@ -168,7 +171,8 @@
         }
     }
 
-    /// A pool's instances beyond those that it keeps go; those that are busy are closed first.
+    /// Releases a pool's instances beyond those that it retains. Workers that are still busy are
+    /// closed first.
     fn release_surplus(
         &self,
         pool: &Pool<'_>,
@@ -179,7 +183,8 @@
         let mut surplus = pool.current().saturating_sub(pool.keep);
         let idle = pool.serving.iter().filter(|(_, v)| v.lasting == 0);
         let mut idle: Vec<_> = idle.collect();
-        // An instance that is off has its maintenance at no cost.
+        // Instances due for maintenance are preferred, as maintenance of a powered-off instance
+        // costs nothing.
         idle.sort_by_key(|(_, v)| {
             (
                 v.runs > 0,
@@ -222,31 +227,31 @@
     }
 }
 
-/// Where instances go that no pool wants, and how many may set out now.
+/// Destination of unused instances, and how many more may be released in this planning cycle.
 struct ReleaseBudget<'a> {
     spare_pool: Option<&'a ServiceName>,
     remaining: usize,
 }
 
-/// Instances that no pool uses, beside those in the pools.
+/// Unused instances outside the pools.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Unused {
-    /// They are off and can be had at once.
+    /// Powered off and available immediately.
     pub(super) spare: usize,
-    /// They are on their way to being off.
+    /// On their way to a spare pool.
     pub(super) releasing: usize,
 }
 
-/// Instances that may always be on their way to being off.
+/// Number of instances that may always be on their way to a spare pool.
 const MIN_RELEASES: usize = 8;
 
 impl Unused {
-    /// How many more may set out to be off.
+    /// Returns how many more instances may be released.
     ///
-    /// Failure: one pool's work ends as another's begins, all the instances of the first are on
-    /// their way to being off, and the second waits for them twice as long as a move takes. At
-    /// most half of what no pool uses is on its way at a time; the rest goes straight to the
-    /// pool that wants it, by one move instead of two.
+    /// Without a limit, if the work of one pool ends as that of another begins, all instances of
+    /// the first are on their way to a spare pool, and the second waits for them twice as long as a
+    /// move takes. With the default policy, at most half of the unused instances are on their way
+    /// at a time; the others go directly to the pool that wants them, by one move instead of two.
     fn release_quota(self, pools: &Map<&ServiceName, Pool<'_>>, share: f64) -> usize {
         let idle: usize = pools.values().map(Pool::idle).sum();
         let unused = self.spare + self.releasing + idle;
--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner.
+//! The planner, which combines orders in progress, pool targets and waves into one plan.
 
 use std::time::Duration;
 
@@ -16,34 +16,34 @@
 use crate::trend::Trend;
 use crate::waves::{WaveContext, WaveMembers, Waves};
 
-/// Age of the list of instances after which nothing is ordered: an instance may be elsewhere.
+/// Age of the instance list beyond which no orders are issued, as instances may have moved since.
 const LIST_TTL: Duration = Duration::from_millis(2_500);
 
-/// Time after which an order that was never seen through is no longer waited for.
+/// Time after which the planner stops waiting for the completion of an order.
 const ORDER_TTL: Duration = Duration::from_secs(20);
 
-/// Pause before an order without an answer is given again.
+/// Delay before an order without a response is sent again.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
 
-/// Time between lines in the log on every pool.
+/// Interval between log lines on every pool.
 const LOG_EVERY: Duration = Duration::from_millis(1_000);
 
-/// Times that the platform sets.
+/// Durations that depend on the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Timings {
-    /// Time that maintenance takes.
+    /// Duration of an instance's maintenance.
     pub maintenance: Millis,
 }
 
-/// What earlier planners have had remembered.
+/// State that earlier planners stored.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Instances that had their maintenance, by wave.
+    /// Instances that had their maintenance, with the wave.
     pub maintained: Vec<(u64, InstanceName)>,
     /// When each wave was first seen.
     ///
-    /// Failure: the time of a wave counts anew from each change of owners, nothing presses, and
-    /// the operators' deadline passes with instances left.
+    /// Without this record, the time of a wave would count anew from each change of owners, no wave
+    /// would become urgent, and the operators' deadline would pass with instances left.
     pub wave_starts: Vec<(u64, Time)>,
 }
 
@@ -56,18 +56,18 @@
     pending_orders: Map<InstanceName, PendingOrder>,
     unusable_since: UnusableSince,
     pub(crate) waves: Waves,
-    /// Instances that cannot serve a pool.
+    /// Instances that cannot serve a pool, as the platform rejected the move as invalid.
     pub(crate) unfit: Map<ServiceName, Set<InstanceName>>,
-    /// Workers on instances that are to be maintained before long.
+    /// Workers on instances that are due for maintenance soon.
     pub(crate) maintenance_due: Set<WorkerId>,
-    /// When it planned first, and whether the pools were at work then.
+    /// Time of the first plan, and whether the pools had running work then.
     pub(crate) first_plan: Option<(Time, bool)>,
-    /// When the pools were last told of in the log.
+    /// When the state of the pools was last logged.
     last_logged: Time,
 }
 
 impl Planner {
-    /// A planner that knows nothing but what earlier ones have had remembered.
+    /// Creates a planner that knows only what earlier planners stored.
     pub fn new(times: Timings, past: History) -> Self {
         let mut waves = Waves::default();
         for (wave, instance) in past.maintained {
@@ -90,17 +90,17 @@
         }
     }
 
-    /// The same with other figures of how pools grow and shrink.
+    /// Replaces the parameters of how pools grow and shrink.
     pub fn with_policy(self, policy: PoolPolicy) -> Self {
         Self { policy, ..self }
     }
 
-    /// Workers on instances that are to be maintained before long, as of the last plan.
+    /// Workers on instances that are due for maintenance soon, as of the last plan.
     pub fn maintenance_due(&self) -> &Set<WorkerId> {
         &self.maintenance_due
     }
 
-    /// What became of an order.
+    /// Handles the outcome of an order.
     pub fn record_outcome(&mut self, now: Time, instance: &InstanceName, outcome: InstanceOutcome) {
         let Some(pending) = self.pending_orders.get_mut(instance) else {
             return;
@@ -121,7 +121,7 @@
             }
             InstanceOutcome::OtherWave => {
                 if let InstanceOrder::Maintain { wave, .. } = &pending.order {
-                    // It is not of the wave any more, so the wave does not wait for it.
+                    // The instance is no longer part of the wave, so the wave does not wait for it.
                     let wave = *wave;
                     self.waves.mark_done(wave, instance.clone());
                 }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// What is to be done now.
+    /// Returns the actions to execute now.
     pub fn plan(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
         let now = snapshot.now;
         if now.since(snapshot.listed) > LIST_TTL || snapshot.instances.is_empty() {
@@ -154,7 +154,7 @@
         for member in &all {
             let pool = pools.entry(&member.instance.pool);
             match &member.eligibility {
-                // Work could not start there: it stays where it is off.
+                // No work can start in an evacuated data centre, so the instance stays powered off.
                 Eligibility::Spare if snapshot.evacuated.contains(&member.instance.zone) => {}
                 Eligibility::Spare => spare.push(member),
                 Eligibility::Serving(view) => pool.or_default().serving.push((member, view)),
@@ -176,7 +176,8 @@
         claimed.extend(snapshot.reserved.keys().cloned());
         self.plan_waves(true, snapshot, &waves, &pools, &mut claimed, &mut actions);
         spare.retain(|m| !claimed.contains(&m.instance.name));
-        // Those that a wave still wants stay where their maintenance is free.
+        // Spare instances that a wave has yet to maintain are used last, as their maintenance costs
+        // nothing while they are powered off.
         let remaining = waves.iter().flat_map(|w| &w.remaining);
         let awaiting: Set<&InstanceName> = remaining.map(|m| &m.instance.name).collect();
         spare.sort_by_cached_key(|m| awaiting.contains(&m.instance.name));
@@ -193,7 +194,7 @@
         actions
     }
 
-    /// Instances on their way to where they are off.
+    /// Number of instances on their way to a spare pool.
     fn count_releasing(&self, snapshot: &Snapshot<'_>, all: &[Member<'_>]) -> usize {
         let releasing = all.iter().filter(|m| {
             let pending = self.pending_orders.get(&m.instance.name).map(|o| &o.order);
@@ -209,7 +210,8 @@
         releasing.count()
     }
 
-    /// Waves that are pressing go before what pools want, the others after it.
+    /// Plans either the urgent waves or the others. Urgent waves are planned before the pools'
+    /// demand is served, the others after it.
     fn plan_waves(
         &mut self,
         urgent: bool,
@@ -246,7 +248,8 @@
         }
     }
 
-    /// Orders that the list shows as carried out, and those to repeat.
+    /// Removes the orders that the instance list shows as completed, and returns the actions that
+    /// follow: unconfirmed orders to send again and completed maintenance to store.
     fn track_orders(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
         let now = snapshot.now;
         let mut actions = Vec::new();
@@ -301,7 +304,7 @@
         actions
     }
 
-    /// Remembers what is ordered, so that it is not ordered twice.
+    /// Remembers an order, so that the instance gets no second one meanwhile.
     fn track_order(&mut self, now: Time, action: &Action) {
         let Action::Order { order, worker } = action else {
             return;
--- a/crates/capacity/src/policy.rs
+++ b/crates/capacity/src/policy.rs
@@ -1,45 +1,48 @@
-//! Figures of how pools grow and shrink.
+//! Parameters of how pools grow and shrink.
 
 use cactuswheel_model::Millis;
 use serde::Deserialize;
 
-/// Longest time ahead that is looked at.
+/// Upper limit of the configurable times.
 const MAX_TIME: Millis = Millis::new(60_000);
 
-/// Most instances for each that the work fills, most that are held beyond that, and most standard
-/// deviations.
+/// Upper limit of `headroom`, `reserve` and `sigmas`.
 const MAX_FACTOR: f64 = 100.0;
 
-/// Least instances for each that the work fills: with fewer a pool never catches up.
+/// Lower limit of `headroom`; with a smaller factor a pool never catches up with its demand.
 const MIN_HEADROOM: f64 = 0.1;
 
-/// Figures of how pools grow and shrink. Each can be set, so that what it is worth can be
-/// measured without another build; in settings a time's name ends in `_ms`.
+/// Parameters of how pools grow and shrink. All of them are configurable, so that their effect can
+/// be compared without another build. In settings, the names of times end in `_ms`.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PoolPolicy {
-    /// Time from an order to a worker that takes work: a pool grows for what is asked then. A
-    /// move takes 1.5 s, and the worker is listed and looked at a quarter later.
+    /// Time from an order until the instance's worker accepts work; a pool grows for the demand
+    /// expected at that time. A move takes 1.5 s, and the worker is listed and polled a quarter of
+    /// a second later.
     #[serde(rename = "arrival_ms")]
     pub lead_time: Millis,
-    /// Time for which the highest need counts before a pool shrinks. Keeping an instance for a
-    /// second costs about what moving it costs.
+    /// Time for which the peak demand counts before a pool shrinks. Keeping an instance for a
+    /// second costs about as much as moving it.
     #[serde(rename = "hold_ms")]
     pub hold_time: Millis,
-    /// Instances for each that the work fills: tasks of up to a third of one leave gaps.
+    /// Instances provided for each instance's worth of work. It exceeds 1 because tasks of up to a
+    /// third of an instance leave gaps.
     #[serde(rename = "gaps")]
     pub headroom: f64,
-    /// Instances beyond that while short work comes in.
+    /// Additional instances beyond that while short tasks arrive.
     pub reserve: f64,
-    /// Standard deviations by which arrivals of late have to differ from the mean before they
-    /// are taken for a change. Six windows are compared ten times a second: at two, one of them
-    /// is off by chance every second, and a pool of 12 orders 20 instances for nothing.
+    /// Number of standard deviations by which recent arrivals have to differ from the mean to count
+    /// as a change of load. Six windows are compared ten times a second: at two standard
+    /// deviations, one of them deviates by chance every second, and a pool of 12 orders 20
+    /// instances without need.
     #[serde(rename = "doubt")]
     pub sigmas: f64,
-    /// Part of what no pool uses that may be on its way to being off at a time.
+    /// Share of the unused instances that may be on their way to a spare pool at a time.
     #[serde(rename = "leaving")]
     pub release_share: f64,
-    /// Part of the fleet that a pool gets for work of no use any more.
+    /// Share of the fleet that a pool may get for overdue work, the result of which is no longer
+    /// useful to its callers.
     #[serde(rename = "overdue")]
     pub overdue_share: f64,
 }
@@ -59,7 +62,7 @@
 }
 
 impl PoolPolicy {
-    /// The first figure that is out of its range, and what is wrong with it.
+    /// Returns the settings key of the first parameter that is out of range, and the allowed range.
     pub fn validate(&self) -> Option<(&'static str, &'static str)> {
         let times = [("arrival_ms", self.lead_time), ("hold_ms", self.hold_time)];
         if let Some((key, _)) = times.iter().find(|(_, t)| *t > MAX_TIME) {
--- a/crates/capacity/src/pool.rs
+++ b/crates/capacity/src/pool.rs
@@ -1,4 +1,4 @@
-//! A pool in the course of one plan.
+//! State of a pool during one planning cycle.
 
 use cactuswheel_cell::WorkerView;
 use cactuswheel_model::Map;
@@ -6,14 +6,14 @@
 
 use crate::fleet::Member;
 
-/// A pool in the course of one plan.
+/// Demand and instances of a pool during one planning cycle.
 #[derive(Debug, Default)]
 pub(crate) struct Pool<'a> {
-    /// Instances without which lasting work has no place.
+    /// Instances needed to place all long-running work.
     pub(crate) minimum: usize,
     /// Instances wanted now.
     pub(crate) target: usize,
-    /// Instances that are kept.
+    /// Instances that the pool retains; only those beyond this number are released.
     pub(crate) keep: usize,
     pub(crate) serving: Vec<(&'a Member<'a>, &'a WorkerView)>,
     pub(crate) closing: Vec<(&'a Member<'a>, &'a WorkerView)>,
@@ -21,7 +21,7 @@
 }
 
 impl Pool<'_> {
-    /// Instances with nothing on them that the pool does not want now.
+    /// Number of instances that run no tasks and that the pool does not want now.
     pub(crate) fn idle(&self) -> usize {
         let empty = |v: &WorkerView| v.runs == 0;
         let serving = self.serving.iter().filter(|(_, v)| empty(v)).count();
@@ -30,7 +30,7 @@
         serving.min(surplus) + closing
     }
 
-    /// Whether lasting work lacks a place.
+    /// Whether some long-running work cannot be placed.
     pub(crate) fn below_minimum(&self) -> bool {
         self.current() < self.minimum
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Says what the pools are like.
+/// Logs the state of every pool.
 pub(crate) fn log_pools(pools: &Map<&ServiceName, Pool<'_>>, spare: usize) {
     for (service, pool) in pools {
         let used: u64 = pool.serving.iter().map(|(_, v)| v.used.cpu).sum();
--- a/crates/capacity/src/rate.rs
+++ b/crates/capacity/src/rate.rs
@@ -1,4 +1,4 @@
-//! How many jobs a queue gets.
+//! Estimate of the rate at which jobs arrive in a queue.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use cactuswheel_cell::Arrivals;
 use cactuswheel_model::Time;
 
-/// Times over which jobs are counted, the longest first.
+/// Windows over which arrivals are counted, longest first.
 const WINDOWS: [Duration; 6] = [
     Duration::from_millis(8_000),
     Duration::from_millis(4_000),
@@ -16,30 +16,30 @@
     Duration::from_millis(250),
 ];
 
-/// Jobs that a queue gets in a second.
+/// Estimated arrivals of a queue, in jobs per second.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ArrivalRate {
     pub(crate) rate: f64,
-    /// There are fewer of late than before, and chance does not explain it.
+    /// Fewer jobs arrive than before, and chance does not explain the difference.
     pub(crate) declining: bool,
 }
 
-/// How many jobs a queue gets.
+/// Estimates the rate at which jobs arrive in a queue.
 ///
-/// Answers load of which the pattern is not known. Under a steady load the longest window counts:
-/// a pool that takes the noise of a few jobs for a surge sends instances to and fro. Where a
-/// shorter window holds more or fewer jobs than chance explains, the load has changed, and the
-/// shorter one counts: a queue that turns busy or falls silent shows within a quarter of a second.
+/// The pattern of the load is unknown. Under a steady load the longest window counts, since a pool
+/// that takes the noise of a few jobs for a surge moves instances back and forth. If a shorter
+/// window holds more or fewer jobs than chance explains, the load has changed, and the shorter
+/// window counts: a queue whose arrivals surge or stop is detected within a quarter of a second.
 #[derive(Debug, Default)]
 pub(crate) struct RateEstimator {
-    /// Jobs that had arrived by then.
+    /// Total number of jobs that had arrived at each time.
     samples: VecDeque<(Time, u64)>,
 }
 
 impl RateEstimator {
-    /// Takes in the jobs that have arrived; gives how many come in a second.
+    /// Adds the current number of arrived jobs, and returns the arrival rate.
     ///
-    /// `doubt` is the number of standard deviations that chance may explain.
+    /// `sigmas` is the number of standard deviations that are attributed to chance.
     pub(crate) fn update(&mut self, now: Time, arrivals: &Arrivals, sigmas: f64) -> ArrivalRate {
         if self.samples.is_empty() {
             self.seed(&arrivals.earlier);
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Begins with what an earlier owner has taken in.
+    /// Starts with the arrivals that an earlier owner counted.
     ///
-    /// Failure: a new owner knows of no arrivals, takes a queue in its busiest second for a silent
-    /// one, and sends the instances away that its jobs wait for.
+    /// Otherwise a new owner, which has seen no arrivals itself, takes a queue at its peak for an
+    /// idle one and releases the instances that its jobs wait for.
     fn seed(&mut self, earlier: &[Time]) {
         let mut times = earlier.to_vec();
         times.sort_unstable();
@@ -76,7 +76,7 @@
         self.samples.extend(counts);
     }
 
-    /// Seconds that a window covers, and the jobs that have arrived in them.
+    /// Returns the time in seconds that a window covers, and the number of jobs that arrived in it.
     fn count_within(&self, now: Time, jobs: u64, window: Duration) -> (f64, f64) {
         let mut before = self.samples.iter().rev();
         let first = before.find(|(at, _)| now.since(*at) >= window);
@@ -88,9 +88,9 @@
     }
 }
 
-/// Whether `count` jobs where `expected` were to be expected may be chance.
+/// Whether chance explains `count` jobs if `expected` were expected.
 fn is_noise(count: f64, expected: f64, sigmas: f64) -> bool {
-    // The bounds on the mean of a Poisson count.
+    // Confidence bounds of the mean of a Poisson count.
     let center = count + sigmas * sigmas / 2.0;
     let width = sigmas * (count + sigmas * sigmas / 4.0).sqrt();
     (center - width..=center + width).contains(&expected)
--- a/crates/capacity/src/share.rs
+++ b/crates/capacity/src/share.rs
@@ -1,31 +1,33 @@
-//! Dividing a fleet that is too small for all that is asked of it.
+//! Division of a fleet that is too small for the total demand.
 
 use cactuswheel_model::Map;
 use cactuswheel_work::ServiceName;
 
-/// What a pool wants, and what it gets.
+/// Instances that a pool wants, and those that it is granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Share {
-    /// Instances without which lasting work has no place.
+    /// Instances needed to place all long-running work.
     pub(crate) minimum: usize,
     /// Instances wanted now.
     pub(crate) target: usize,
-    /// Instances that it keeps.
+    /// Instances that the pool retains.
     pub(crate) keep: usize,
-    /// Instances that work which is of no use any more would take.
+    /// Instances that overdue work would occupy, the result of which is no longer useful to its
+    /// callers.
     pub(crate) overdue: usize,
 }
 
-/// Cuts the targets down to a fleet of `usable` instances.
+/// Reduces the targets to a fleet of `usable` instances.
 ///
-/// Answers a fleet that is asked for more than it has: without a division the pool that asked
-/// first kept every instance until its backlog was gone, while the next one starved for the
-/// seconds in which its own jobs could have met their objectives. Each pool keeps what its
-/// lasting work needs; the rest goes in proportion to what each asks for beyond that. What is
-/// left over serves jobs that are of no use any more, up to `overdue` of the fleet for a pool.
+/// Each pool keeps what its long-running work needs, and the rest is divided in proportion to what
+/// each pool requests beyond that. Without this division, the pool that asked first keeps every
+/// instance until its backlog is done, while the next pool starves for the seconds in which its own
+/// jobs could have met their objectives.
 ///
-/// Failure: an outage leaves thousands of late tasks, their pool takes every spare instance, and
-/// the next queue that turns busy finds none. What is left over in the pool does them too.
+/// Instances that remain serve overdue work, up to a share of `overdue_share` of the fleet for each
+/// pool. Without that limit, an outage leaves thousands of overdue tasks, their pool takes every
+/// spare instance, and the next queue whose load rises finds none. The limit does not stop overdue
+/// work, as it also runs on whatever capacity of the pool is free.
 pub(crate) fn divide(shares: &mut Map<ServiceName, Share>, usable: usize, overdue_share: f64) {
     let limit = (usable as f64 * overdue_share).ceil() as usize;
     let wanted: usize = shares.values().map(|s| s.target).sum();
--- a/crates/capacity/src/snapshot.rs
+++ b/crates/capacity/src/snapshot.rs
@@ -1,29 +1,30 @@
-//! What a plan is made from.
+//! Input of a planning cycle.
 
 use cactuswheel_cell::{Load, WorkerView};
 use cactuswheel_model::{Map, Set, Time};
 use cactuswheel_work::{Instance, InstanceName, ServiceName, Wave, WorkerId, ZoneName};
 
-/// What a plan is made from, as of one moment.
+/// State of the cell and the platform at one moment, from which a plan is made.
 #[derive(Debug)]
 pub struct Snapshot<'a> {
-    /// The moment.
+    /// Time of the snapshot.
     pub now: Time,
-    /// What each service has to do.
+    /// Demand for each service.
     pub loads: &'a Map<ServiceName, Load>,
-    /// The workers that the cell knows.
+    /// Workers that the cell knows.
     pub workers: &'a Map<WorkerId, WorkerView>,
-    /// The platform's list of instances.
+    /// Instances as listed by the platform.
     pub instances: &'a [Instance],
     /// When the request for that list was sent.
     pub listed: Time,
-    /// Waves that the operators ask for.
+    /// Maintenance waves that the operators requested.
     pub waves: &'a [Wave],
-    /// Services whose instances are off and cost nothing.
+    /// Services whose instances are powered off and cost nothing. Unused instances move to the
+    /// first one.
     pub spare: &'a [ServiceName],
-    /// Instances that an earlier owner ordered of late, with the wave if it was for one: they get
-    /// no orders yet.
+    /// Instances that an earlier owner ordered recently, with the wave if the order was for
+    /// maintenance. They get no orders yet.
     pub reserved: &'a Map<InstanceName, Option<u64>>,
-    /// Data centres that are evacuated: no work starts there.
+    /// Data centres that are being evacuated; no work starts there.
     pub evacuated: &'a Set<ZoneName>,
 }
--- a/crates/capacity/src/targets.rs
+++ b/crates/capacity/src/targets.rs
@@ -1,4 +1,4 @@
-//! How many instances each pool wants.
+//! Number of instances that each pool wants.
 
 use std::borrow::Cow;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::share::{Share, divide};
 use crate::snapshot::Snapshot;
 
-/// Time for which a new planner sends no instance away from a pool at work: it does not know yet
-/// what comes in.
+/// Time during which a new planner releases no instance of a pool with running work, as it does not
+/// know the arrivals yet.
 const WARM_UP: Duration = Duration::from_millis(2_000);
 
 impl Planner {
-    /// Whether this planner has taken over pools at work too lately to know what they need.
+    /// Whether this planner took over pools with running work too recently to know what they need.
     fn is_warming_up(&mut self, snapshot: &Snapshot<'_>) -> bool {
         let working = || snapshot.loads.values().any(|l| l.used.cpu > 0);
         let (first, took_over) = *self
@@ -25,7 +25,7 @@
         took_over && snapshot.now.since(first) < WARM_UP
     }
 
-    /// Instances that each pool wants now, and those that it keeps.
+    /// Returns the instances that each pool wants now, and those that it retains.
     pub(crate) fn targets(&mut self, snapshot: &Snapshot<'_>) -> Map<ServiceName, Share> {
         let serving_counts = count_serving(snapshot);
         let sizes = instance_sizes(snapshot);
@@ -62,8 +62,8 @@
     }
 }
 
-/// A load less the lasting work that goes on in evacuated data centres: it needs no place
-/// elsewhere.
+/// Returns a load without the long-running work that continues in evacuated data centres, as it
+/// needs no capacity elsewhere.
 fn without_evacuated<'a>(
     service: &ServiceName,
     load: &'a Load,
@@ -81,12 +81,12 @@
     Cow::Owned(rest)
 }
 
-/// Least number of instances of a pool that has work at all.
+/// Minimum number of instances of a pool, which is at least one if the pool serves any queue.
 fn min_instances(load: &Load) -> usize {
     usize::from(load.queues > 0).max(load.spread)
 }
 
-/// Workers of each service that take work.
+/// Number of workers of each service that accept new work.
 fn count_serving<'a>(snapshot: &'a Snapshot<'_>) -> Map<&'a ServiceName, usize> {
     let mut counts: Map<&ServiceName, usize> = Map::default();
     for worker in snapshot.workers.values().filter(|w| w.open && !w.closing) {
@@ -95,7 +95,7 @@
     counts
 }
 
-/// Size of each pool's instances.
+/// Size of the instances in each pool.
 fn instance_sizes<'a>(snapshot: &'a Snapshot<'_>) -> Map<&'a ServiceName, Room> {
     let mut sizes: Map<&ServiceName, Room> = Map::default();
     for instance in snapshot.instances {
--- a/crates/capacity/src/trend.rs
+++ b/crates/capacity/src/trend.rs
@@ -1,4 +1,4 @@
-//! How much a pool is asked for.
+//! Demand of a pool, in instances.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,39 +10,41 @@
 use crate::policy::PoolPolicy;
 use crate::rate::RateEstimator;
 
-/// Thousandths of a core.
+/// Millicores per core.
 const MILLICORES: u64 = 1_000;
 
-/// Run time of a task, in milliseconds, where none waits to tell it.
+/// Run time assumed for a task, in milliseconds, if no task is waiting to derive it from.
 const DEFAULT_RUN_MS: u64 = 1_000;
 
-/// Times as long as others that instances are kept which chance may ask for again.
+/// Factor by which instances that random variation may require again are kept longer than others.
 const NOISE_HOLD_FACTOR: u32 = 2;
 
-/// How much one pool is asked for, now and lately.
+/// Current and recent demand of one pool.
 #[derive(Debug, Default)]
 pub(crate) struct Trend {
     rates: Map<QueueName, RateEstimator>,
-    /// Targets of late.
+    /// Recent targets.
     targets: VecDeque<(Time, usize)>,
 }
 
-/// Instances that a pool needs.
+/// Number of instances that a pool needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Need {
-    /// When those that are ordered now arrive.
+    /// Instances needed at the time when those ordered now arrive.
     pub(crate) target: usize,
-    /// Before it pays to send one away: the highest target of late.
+    /// Instances to retain, as releasing them does not pay: the highest recent target.
     pub(crate) keep: usize,
 }
 
 impl Trend {
-    /// Takes in a load; says how many instances of size `unit` answer it. The pool has `serving`.
+    /// Adds a load, and returns how many instances of size `unit` it needs. The pool has `serving`
+    /// instances.
     ///
-    /// Answers a queue that asks for several times its mean for some seconds: what it will ask
-    /// for when an instance can be there is the runs that go on until then, the later steps of
-    /// jobs that have begun, what waits by then for want of room, and what comes in meanwhile. What is
-    /// over by then needs no instance now, and what is asked for later can be ordered later.
+    /// The demand at the time when an instance ordered now can serve consists of the runs that last
+    /// until then, the later steps of jobs that have started, the tasks that wait for capacity by
+    /// then, and the jobs that arrive in the meantime. This follows a queue that asks for several
+    /// times its mean for some seconds. Work that is over by then needs no instance now, and
+    /// instances for later demand can be ordered later.
     pub(crate) fn update(
         &mut self,
         now: Time,
@@ -69,13 +71,14 @@
         }
     }
 
-    /// Instances that it does not pay to send away: the highest target of late. A few more than
-    /// that, as many as chance explains, are kept for longer.
+    /// Number of instances that it does not pay to release: the highest recent target. A few more
+    /// than that, as many as chance explains, are kept for longer.
     ///
-    /// Failure: under a steady load the number of jobs at hand rises and falls by chance within
-    /// seconds, and one instance or two go to and fro with it; nobody's work is faster for it.
+    /// Otherwise, under a steady load, the number of concurrent jobs rises and falls by chance
+    /// within seconds, and one or two instances move back and forth with it, without any job
+    /// running faster.
     ///
-    /// Where `fell`, fewer jobs come than before, so the highest target of late says nothing.
+    /// With `declining`, fewer jobs arrive than before, so past targets are no indication.
     fn keep(&self, now: Time, policy: &PoolPolicy, declining: bool) -> usize {
         let peak = |time: Duration| {
             let recent = self
@@ -85,16 +88,16 @@
             recent.map(|(_, t)| *t).max().unwrap_or_default()
         };
         let hold = policy.hold_time.duration();
-        let short = match declining {
+        let base = match declining {
             true => peak(Duration::ZERO),
             false => peak(hold),
         };
-        let noise = (short as f64).sqrt() as usize;
-        peak(hold * NOISE_HOLD_FACTOR).min(short + noise).max(short)
+        let noise = (base as f64).sqrt() as usize;
+        peak(hold * NOISE_HOLD_FACTOR).min(base + noise).max(base)
     }
 
-    /// Instances, in fractions, that are asked for in each slot from now on, and whether fewer
-    /// jobs come than before.
+    /// Returns the demand in each slot from now on, in fractions of instances, and whether fewer
+    /// jobs arrive than before.
     fn demand(
         &mut self,
         now: Time,
@@ -111,7 +114,8 @@
             (estimate.rate, &arrivals.course)
         });
         let rates: Vec<_> = rates.collect();
-        // Lasting work keeps its places, and what of it waits asks for its own room only once.
+        // Running long-running tasks keep their capacity, and waiting ones request theirs only
+        // once.
         let lasting = instances_for(load.lasting, unit);
         let room = (serving as f64 / policy.headroom - lasting).max(0.0);
         let lead = slot_of(policy.lead_time);
@@ -124,8 +128,9 @@
                 incoming += scale(course.at(slot), rate * SLOT_MS as f64 / 1_000.0);
             }
             let transient = load.forecast.at(slot) + incoming;
-            // What could not start asks for its room all at once, for as long as its tasks run;
-            // those that would be running still are in what is known already.
+            // Tasks that could not start request their capacity all at once, for as long as they
+            // run. Those of them that would still be running in this slot are part of the known
+            // demand already.
             let finished = (slot as f64 - run_time).max(0.0) / slot.max(1) as f64;
             *demand = instances_for(load.lasting + transient, unit) + finished * backlog / run_time;
             backlog = match slot < lead {
@@ -136,18 +141,18 @@
         (demand, declining)
     }
 
-    /// Instances that hold the lasting work.
+    /// Number of instances that hold the long-running work.
     pub(crate) fn lasting_instances(&self, load: &Load, unit: Room) -> usize {
         instances_for(load.lasting, unit).ceil() as usize
     }
 
-    /// Instances that work takes which is of no use any more.
+    /// Number of instances that overdue work would occupy.
     pub(crate) fn overdue_instances(&self, load: &Load, unit: Room) -> usize {
         instances_for(load.overdue, unit).ceil() as usize
     }
 }
 
-/// Slots that a waiting task runs for.
+/// Mean run time of the waiting tasks, in slots.
 fn run_slots(load: &Load) -> f64 {
     let cores = load.waiting.cpu / MILLICORES;
     let time = match cores {
@@ -171,7 +176,7 @@
     }
 }
 
-/// Instances of size `unit` that hold `room`, in fractions.
+/// Number of instances of size `unit` that hold `room`, as a fraction.
 fn instances_for(room: Room, unit: Room) -> f64 {
     let ratio = |a: u64, b: u64| match b {
         0 => 0.0,
--- a/crates/capacity/src/waves.rs
+++ b/crates/capacity/src/waves.rs
@@ -1,8 +1,10 @@
-//! Waves of maintenance: each instance in time, not too many at once, at the least cost.
+//! Maintenance waves: each instance is maintained before the wave's deadline, within the limit on
+//! concurrent maintenance, and at the lowest cost.
 //!
-//! Instances that are off or empty go first, since their maintenance ends nothing. Of the others
-//! a few at a time get no new work, and lasting work leaves them within its budget; the closer
-//! the end of the wave, the more of them.
+//! Instances that are powered off or run no tasks go first, since their maintenance interrupts
+//! nothing. Of the others, a few at a time are drained: they get no new work, and long-running
+//! tasks leave them within their eviction budget. The closer the deadline of the wave, the more
+//! instances are drained.
 
 use std::time::Duration;
 
@@ -13,54 +15,57 @@
 use crate::fleet::{Eligibility, Member, PendingOrder};
 use crate::snapshot::Snapshot;
 
-/// Time from closing a worker to the end of its instance's maintenance, beside the maintenance
-/// itself: short work ends, and lasting work starts elsewhere, one task after the other.
+/// Time from closing a worker to the end of its instance's maintenance, without the maintenance
+/// itself: short tasks end, and long-running tasks start elsewhere, one after the other.
 const DRAIN_TIME: Duration = Duration::from_millis(4_000);
 
-/// Instances of one wave that are emptied at a time while there is time enough.
+/// Number of instances of one wave that are drained at a time while the deadline is far.
 const MIN_DRAINING: usize = 2;
 
-/// Time between two instances' maintenance, for orders and lists to go their way.
+/// Time between the maintenance of two instances, in which orders and instance lists are
+/// transferred.
 const TURNAROUND: Duration = Duration::from_millis(700);
 
-/// How much earlier than that a wave goes first: under load it takes longer to empty workers.
+/// Factor on the time that a wave needs, below which it becomes urgent: under load, draining
+/// workers takes longer.
 const URGENCY_FACTOR: f64 = 1.6;
 
-/// Instances of a wave that a line in the log names.
+/// Maximum number of a wave's instances that a log line names.
 const MAX_LOGGED: usize = 4;
 
-/// What a wave is planned from.
+/// State from which a wave is planned.
 pub(crate) struct WaveContext<'a> {
     pub(crate) now: Time,
-    /// Time that maintenance takes.
+    /// Duration of an instance's maintenance.
     pub(crate) maintenance: Duration,
     pub(crate) pending_orders: &'a Map<InstanceName, PendingOrder>,
-    /// Instances that an earlier owner ordered of late, with the wave if it was for one.
+    /// Instances that an earlier owner ordered recently, with the wave if the order was for
+    /// maintenance.
     pub(crate) reserved: &'a Map<InstanceName, Option<u64>>,
-    /// Pools that want more instances than they have.
+    /// Pools below their target.
     pub(crate) short_pools: &'a Set<&'a ServiceName>,
 }
 
 impl WaveContext<'_> {
-    /// Whether an instance's pool wants more instances than it has.
+    /// Whether an instance's pool is below its target.
     fn is_pool_short(&self, member: &Member<'_>) -> bool {
         self.short_pools.contains(&member.instance.pool)
     }
 }
 
-/// A wave and its instances, as of one plan.
+/// A wave and its instances in one planning cycle.
 pub(crate) struct WaveMembers<'a> {
     pub(crate) wave: &'a Wave,
     members: Vec<&'a Member<'a>>,
-    /// Those that did not have their maintenance.
+    /// Instances that have not had their maintenance.
     pub(crate) remaining: Vec<&'a Member<'a>>,
 }
 
 impl WaveMembers<'_> {
-    /// Instances that an earlier owner may have sent into their maintenance.
+    /// Number of instances that an earlier owner may have sent into maintenance.
     ///
-    /// Failure: a new owner counts its own orders only, and with those of the earlier one too many
-    /// instances of the wave are down at once.
+    /// A new owner that counted only its own orders would exceed the wave's limit, as the instances
+    /// ordered by the earlier owner are down at the same time.
     fn earlier_orders(&self, context: &WaveContext<'_>) -> usize {
         let members = self.members.iter().map(|m| m.instance);
         let others = members.filter(|i| !context.pending_orders.contains_key(&i.name));
@@ -72,26 +77,26 @@
     }
 }
 
-/// How far the waves are.
+/// Progress of all waves.
 #[derive(Debug, Default)]
 pub(crate) struct Waves {
     /// Instances that had their maintenance, by wave.
     pub(crate) done: Map<u64, Set<InstanceName>>,
     /// When each wave was first seen.
     started: Map<u64, Time>,
-    /// Waves that the operators were told of, and whether as complete.
+    /// Waves reported to the operators, and whether they were reported as complete.
     reported: Map<u64, bool>,
-    /// Workers that are emptied for a wave.
+    /// Workers that are being drained for a wave.
     pub(crate) draining: Set<WorkerId>,
 }
 
 impl Waves {
-    /// An instance had its maintenance.
+    /// Records that an instance had its maintenance.
     pub(crate) fn mark_done(&mut self, wave: u64, instance: InstanceName) {
         self.done.entry(wave).or_default().insert(instance);
     }
 
-    /// A wave was first seen at `at`; false if it is known already.
+    /// Records that a wave was first seen at `at`; returns false if the wave is known already.
     pub(crate) fn record_start(&mut self, wave: u64, at: Time) -> bool {
         match self.started.contains_key(&wave) {
             true => false,
@@ -99,14 +104,14 @@
         }
     }
 
-    /// The time of waves that were not seen before begins.
+    /// Records the start of waves that were not seen before.
     pub(crate) fn start_new_waves(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
         let numbers = snapshot.waves.iter().map(|w| w.number);
         let fresh = numbers.filter(|n| self.record_start(*n, snapshot.now));
         fresh.map(|wave| Action::RecordWaveStart { wave }).collect()
     }
 
-    /// The instances of each wave.
+    /// Returns the instances of each wave.
     pub(crate) fn members<'a>(
         &self,
         waves: &'a [Wave],
@@ -117,8 +122,8 @@
             let members = all.iter().filter(|m| names.contains(&m.instance.name));
             let members: Vec<&Member<'a>> = members.collect();
             let done = self.done.get(&wave.number);
-            let open = |m: &&&Member<'a>| done.is_none_or(|d| !d.contains(&m.instance.name));
-            let remaining = members.iter().filter(open).copied().collect();
+            let outstanding = |m: &&&Member<'a>| done.is_none_or(|d| !d.contains(&m.instance.name));
+            let remaining = members.iter().filter(outstanding).copied().collect();
             WaveMembers {
                 wave,
                 members,
@@ -128,7 +133,7 @@
         waves.iter().map(select).collect()
     }
 
-    /// Whether a wave has so little time left that it goes before what pools want.
+    /// Whether so little time is left for a wave that it takes precedence over the pools' demand.
     pub(crate) fn is_urgent(&self, members: &WaveMembers<'_>, context: &WaveContext<'_>) -> bool {
         let (wave, remaining) = (members.wave, members.remaining.len());
         let rounds = remaining.div_ceil(wave.cap.max(1) as usize) as u32;
@@ -136,7 +141,7 @@
         remaining > 0 && self.time_left(wave, context.now) < needed.mul_f64(URGENCY_FACTOR)
     }
 
-    /// What a wave needs now.
+    /// Returns the actions that a wave needs now.
     pub(crate) fn plan(
         &mut self,
         members: &WaveMembers<'_>,
@@ -180,7 +185,7 @@
         actions
     }
 
-    /// Time until the wave has to be done.
+    /// Time until the wave's deadline.
     fn time_left(&self, wave: &Wave, now: Time) -> Duration {
         let start = self.started.get(&wave.number).copied().unwrap_or(now);
         wave.within.duration().saturating_sub(now.since(start))
@@ -195,7 +200,7 @@
         workers.collect()
     }
 
-    /// Says what is left of a wave, and why it waits.
+    /// Logs the remaining instances of a wave by eligibility, which shows why they wait.
     pub(crate) fn log(&self, members: &WaveMembers<'_>, now: Time) {
         let (wave, remaining) = (members.wave, &members.remaining);
         if remaining.is_empty() {
@@ -219,7 +224,7 @@
         );
     }
 
-    /// Tells the operators when a wave begins and when it is complete.
+    /// Reports to the operators when a wave begins and when it is complete.
     fn report_status(&mut self, wave: &Wave, complete: bool) -> Vec<Action> {
         if self.reported.insert(wave.number, complete) == Some(complete) {
             return Vec::new();
@@ -230,7 +235,7 @@
         }]
     }
 
-    /// Workers that get no more work, so that their instances can have their maintenance.
+    /// Closes workers so that their instances can have their maintenance.
     fn drain_workers(
         &mut self,
         wave: &Wave,
@@ -244,8 +249,9 @@
             _ => false,
         });
         let draining = draining.count();
-        // Workers without lasting work are left to their pools as long as there is time: most are
-        // empty before the wave is over, and their maintenance then takes nothing from anybody.
+        // Workers without long-running tasks stay with their pools unless the wave is urgent: most
+        // of them run out of tasks before the deadline, and their maintenance then interrupts no
+        // work.
         let needs_drain = |m: &&&Member<'_>| match &m.eligibility {
             Eligibility::Serving(view) | Eligibility::Closing(view) => urgent || view.lasting > 0,
             _ => false,
@@ -253,8 +259,9 @@
         let round = (DRAIN_TIME + context.maintenance).as_millis() as f64;
         let rounds = (time.as_millis() as f64 / round).max(1.0);
         let pace = (remaining.iter().filter(needs_drain).count() as f64 / rounds).ceil() as usize;
-        // Lasting work takes seconds to leave, so it begins whatever is under maintenance now, and
-        // also in a pool that is short: a worker that holds it has little room for other work.
+        // Long-running tasks take seconds to leave. Draining therefore starts regardless of how
+        // many instances are under maintenance now, and also in a pool below its target, as a
+        // worker with long-running tasks has little capacity for other work.
         let target = pace.max(MIN_DRAINING).min(wave.cap as usize);
         let busy = remaining.iter().filter(needs_drain);
         let mut busy: Vec<_> = busy
@@ -263,8 +270,8 @@
                 _ => None,
             })
             .collect();
-        // A budget lets the tasks of a step leave one after the other, so those with the most of
-        // them take the longest.
+        // The eviction budget lets the tasks of a step leave one after the other, so workers with
+        // the most of them take the longest.
         busy.sort_by_key(|v| (std::cmp::Reverse(v.lasting), v.used.cpu));
         let chosen = busy.into_iter().take(target.saturating_sub(draining));
         let chosen: Vec<WorkerId> = chosen.map(|v| v.worker.clone()).collect();
