--- a/crates/capacity/src/planner.rs
+++ b/crates/capacity/src/planner.rs
@@ -139,7 +139,7 @@
         if now.since(snapshot.listed) > LIST_TTL || snapshot.instances.is_empty() {
             return Vec::new();
         }
-        let mut actions = self.track_orders(snapshot);
+        let mut actions = self.update_pending_orders(snapshot);
         actions.extend(self.waves.start_new_waves(snapshot));
         let all = classify(snapshot, &self.pending_orders, &mut self.unusable_since);
         let waves = self.waves.members(snapshot.waves, &all);
@@ -189,7 +189,7 @@
         };
         self.shrink(&mut pools, snapshot, unused, &mut claimed, &mut actions);
         for action in &actions {
-            self.track_order(now, action);
+            self.add_pending_order(now, action);
         }
         actions
     }
@@ -250,7 +250,7 @@
 
     /// Removes the orders that the instance list shows as completed, and returns the actions that
     /// follow: unconfirmed orders to send again and completed maintenance to store.
-    fn track_orders(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
+    fn update_pending_orders(&mut self, snapshot: &Snapshot<'_>) -> Vec<Action> {
         let now = snapshot.now;
         let mut actions = Vec::new();
         let mut finished = Vec::new();
@@ -305,7 +305,7 @@
     }
 
     /// Remembers an order, so that the instance gets no second one meanwhile.
-    fn track_order(&mut self, now: Time, action: &Action) {
+    fn add_pending_order(&mut self, now: Time, action: &Action) {
         let Action::Order { order, worker } = action else {
             return;
         };
--- a/crates/capacity/src/trend.rs
+++ b/crates/capacity/src/trend.rs
@@ -74,9 +74,9 @@
     /// Number of instances that it does not pay to release: the highest recent target. A few more
     /// than that, as many as chance explains, are kept for longer.
     ///
-    /// Otherwise, under a steady load, the number of concurrent jobs rises and falls by chance
-    /// within seconds, and one or two instances move back and forth with it, without any job
-    /// running faster.
+    /// If these were released as early as the others, one or two instances would move back and
+    /// forth under a steady load, as the number of concurrent jobs rises and falls by chance within
+    /// seconds. No job would run faster for it.
     ///
     /// With `declining`, fewer jobs arrive than before, so past targets are no indication.
     fn keep(&self, now: Time, policy: &PoolPolicy, declining: bool) -> usize {
--- a/crates/capacity/tests/owners.rs
+++ b/crates/capacity/tests/owners.rs
@@ -64,8 +64,8 @@
     assert_eq!(until(7, 899_000, None), Some(50_000 + 4_000));
 }
 
-/// Guards against two owners that order one instance within seconds. Two owners have stored an
-/// order to it, and the older one is read last; the newer one counts.
+/// Guards against two owners that order one instance within seconds. Orders of two earlier owners
+/// are stored for the instance, and the older one is read last. The newer one counts.
 #[test]
 fn newest_of_two() {
     let mut orders = order(7, 899_000);
--- a/crates/capacity/tests/shapes.rs
+++ b/crates/capacity/tests/shapes.rs
@@ -1,9 +1,10 @@
 //! Loads of several shapes: how many instances the planner provides, how often it moves instances,
 //! and how many jobs meet their objective.
 //!
-//! Two pools share 30 instances of 64 cores. A job consists of several tasks of eight cores that
-//! run for a second and a half. It meets its objective if it is done within 1.6 times that plus 0.6
-//! s, the formula of the customers' objectives. None of the shapes is taken from a customer.
+//! Two pools share 30 instances of 64 cores. A job consists of several tasks of eight cores, each
+//! of which runs for a second and a half. The job meets its objective if it is done within 0.6 s
+//! plus 1.6 times that, the formula of the customers' objectives. None of the shapes is taken from
+//! a customer.
 
 mod fleet;
 
