--- a/crates/capacity/src/history.rs
+++ b/crates/capacity/src/history.rs
@@ -9,7 +9,8 @@
 /// The latest order to an instance, as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// Life of the node that sent the order; a node gets a new one at each start.
+    /// Incarnation of the node that sent the order: a number that differs at each start of the
+    /// node.
     pub life: u64,
     /// Reading of that node's monotonic clock immediately before it stored the order.
     pub at: Time,
@@ -26,7 +27,7 @@
 /// that owner stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastOwner {
-    /// Life of the previous owner's node.
+    /// Incarnation of the previous owner's node.
     pub life: u64,
     /// Reading of the previous owner's monotonic clock when it last wrote its ownership record.
     pub clock: Time,
