--- a/crates/capacity/src/rate.rs
+++ b/crates/capacity/src/rate.rs
@@ -42,7 +42,7 @@
     /// `doubt` is the number of standard deviations that chance may explain.
     pub(crate) fn count(&mut self, now: Time, arrivals: &Arrivals, doubt: f64) -> Flow {
         if self.seen.is_empty() {
-            self.remember(&arrivals.earlier);
+            self.remember(&arrivals.restored);
         }
         let jobs = arrivals.jobs;
         self.seen.push_back((now, jobs));
--- a/crates/capacity/src/trend.rs
+++ b/crates/capacity/src/trend.rs
@@ -107,7 +107,7 @@
             let rate = self.rates.entry(queue.clone()).or_default();
             let flow = rate.count(now, arrivals, policy.doubt);
             fell |= flow.fell;
-            (flow.rate, &arrivals.course)
+            (flow.rate, &arrivals.profile)
         });
         let rates: Vec<_> = rates.collect();
         // Lasting work keeps its places, and what of it waits asks for its own room only once.
--- a/crates/cell/src/accept.rs
+++ b/crates/cell/src/accept.rs
@@ -7,7 +7,7 @@
 use cactuswheel_work::{JobId, JobState, Submission};
 
 use crate::cell::Cell;
-use crate::finished::{Finished, Kept};
+use crate::finished::{Finished, FinishedJob};
 use crate::job::Job;
 use crate::journal::JobRecord;
 use crate::run_state::Turn;
@@ -60,14 +60,14 @@
         self.open.remove(&id);
         self.cancelled.remove(&id);
         let ended = self.now;
-        self.remember(id, Kept { job, ended });
+        self.insert_finished(id, FinishedJob { job, ended });
     }
 
     /// A job was accepted; `waited` is how long ago. A repeat has no effect.
     pub fn submit(&mut self, now: Time, sub: Submission, waited: Duration) {
         self.now = now;
         let id = sub.job;
-        if let Some(job) = self.jobs.observe(&id) {
+        if let Some(job) = self.jobs.get_mut_untracked(&id) {
             job.in_intake = true;
             return;
         }
@@ -101,7 +101,7 @@
             return false;
         };
         let rule = &self.bounds.share;
-        !self.shares.take(rule, team, weight, job.arrived)
+        !self.shares.admit(rule, team, weight, job.arrived)
     }
 
     /// A job's caller cancelled it.
--- a/crates/cell/src/backlog.rs
+++ b/crates/cell/src/backlog.rs
@@ -8,12 +8,12 @@
 use crate::cell::Cell;
 
 /// Time between two lines.
-const EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What batches have taken since the last line.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
-    logged: Time,
+    logged_at: Time,
     batches: u64,
     starts: u64,
     bytes: usize,
@@ -23,14 +23,14 @@
 
 impl Backlog {
     /// A batch with so many bytes, orders included, is under way.
-    pub(crate) fn wrote(&mut self, starts: usize, bytes: usize) {
+    pub(crate) fn record_write(&mut self, starts: usize, bytes: usize) {
         self.batches += 1;
         self.starts += starts as u64;
         self.bytes += bytes;
     }
 
     /// The journal holds it, after so long.
-    pub(crate) fn appended(&mut self, took: Duration) {
+    pub(crate) fn record_append(&mut self, took: Duration) {
         self.writing += took;
     }
 }
@@ -38,25 +38,25 @@
 impl Cell {
     /// Tells what waits for a worker, for the journal or for its order, if anything does.
     pub(crate) fn log_backlog(&mut self) {
-        if self.now.since(self.backlog.logged) < EVERY {
+        if self.now.since(self.backlog.logged_at) < LOG_INTERVAL {
             return;
         }
-        let told = Backlog {
-            logged: self.now,
+        let next = Backlog {
+            logged_at: self.now,
             ..Backlog::default()
         };
-        let was = std::mem::replace(&mut self.backlog, told);
+        let last = std::mem::replace(&mut self.backlog, next);
         let waiting = self.wait_queue.len();
-        let waits = self.waits(&ServiceName::from(""));
+        let delay = self.start_delay(&ServiceName::from(""));
         if waiting == 0 && self.planned.is_empty() && self.late.is_empty() {
             return;
         }
         log::info!(
             waiting = waiting as u64, planned = self.planned.len() as u64,
             late = self.late.len() as u64, unwritten = self.dirty.len() as u64,
-            batches = was.batches, starts = was.starts, bytes = was.bytes as u64,
-            link_ms = waits.link.as_millis() as u64, room_ms = waits.room.as_millis() as u64,
-            writing_ms = was.writing.as_millis() as u64;
+            batches = last.batches, starts = last.starts, bytes = last.bytes as u64,
+            link_ms = delay.link.as_millis() as u64, room_ms = delay.room.as_millis() as u64,
+            writing_ms = last.writing.as_millis() as u64;
             "backlog"
         );
     }
--- a/crates/cell/src/batch.rs
+++ b/crates/cell/src/batch.rs
@@ -6,13 +6,13 @@
 
 /// Numbers a batch within one ownership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Mark(pub(crate) u64);
+pub struct BatchId(pub(crate) u64);
 
 /// Records for the journal. One batch is under way at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
     /// Its number.
-    pub mark: Mark,
+    pub number: BatchId,
     /// Submissions of jobs that are accepted with this batch; `None` drops one.
     pub submissions: Vec<(JobId, Option<Vec<u8>>)>,
     /// Each job's state, whole and encoded; `None` forgets the job.
@@ -21,7 +21,7 @@
 
 /// What holds once a batch is in the journal.
 #[derive(Debug, Default)]
-pub(crate) struct Consequences {
+pub(crate) struct BatchEffects {
     /// Jobs that are accepted.
     pub(crate) accepted: Vec<JobId>,
     /// Runs that may be ordered.
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -14,13 +14,13 @@
 use crate::advice::Tickets;
 use crate::attempt::Phase;
 use crate::backlog::Backlog;
-use crate::batch::{Consequences, Mark, PlannedStart};
+use crate::batch::{BatchEffects, BatchId, PlannedStart};
 use crate::blame::GivenUp;
 use crate::bounds::Bounds;
-use crate::finished::Kept;
+use crate::finished::FinishedJob;
 use crate::job::Job;
 use crate::jobs::Jobs;
-use crate::learned::Learned;
+use crate::learned::QueueStats;
 use crate::output::Output;
 use crate::policy::WorkPolicy;
 use crate::run_state::Turn;
@@ -62,7 +62,7 @@
     /// Jobs of which nothing is left to do, by the journal.
     ///
     /// Invariant: none of them is in `jobs`.
-    pub(crate) finished: Map<JobId, Kept>,
+    pub(crate) finished: Map<JobId, FinishedJob>,
     /// The same by age, oldest first.
     pub(crate) oldest: VecDeque<JobId>,
     /// Finished jobs whose submission is still in the intake.
@@ -89,13 +89,13 @@
     /// Runs that wait for the journal.
     pub(crate) planned: Vec<PlannedStart>,
     /// The batch under way, and what holds once it is in the journal.
-    pub(crate) flying: Option<(Mark, Consequences)>,
+    pub(crate) flying: Option<(BatchId, BatchEffects)>,
     /// When that was asked for.
     pub(crate) written: Time,
     pub(crate) next_mark: u64,
     pub(crate) out: Vec<Output>,
     /// What was learnt of each queue's jobs.
-    pub(crate) learned: Map<QueueName, Learned>,
+    pub(crate) learned: Map<QueueName, QueueStats>,
     /// Something changed that may let a task start.
     pub(crate) stirred: bool,
     pub(crate) now: Time,
@@ -227,7 +227,7 @@
     /// The state of a job that callers see; `None` if there is no such job.
     pub fn state(&self, id: JobId) -> Option<JobState> {
         let kept = self.finished.get(&id).map(|k| k.job.state);
-        kept.or_else(|| self.jobs.get(&id).map(Job::visible))
+        kept.or_else(|| self.jobs.get(&id).map(Job::reported_state))
     }
 
     /// The team that a job belongs to; `None` if there is no such job, or no team.
@@ -241,7 +241,8 @@
     /// Number of a queue's jobs of which no task has started.
     pub fn pending(&self, queue: &QueueName) -> u64 {
         let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
-        let waiting = jobs.filter(|j| j.sub.queue == *queue && j.visible() == JobState::Queued);
+        let waiting =
+            jobs.filter(|j| j.sub.queue == *queue && j.reported_state() == JobState::Queued);
         waiting.count() as u64
     }
 
@@ -269,10 +270,10 @@
     /// Derives anew what follows from the state of jobs and workers that changed.
     pub(crate) fn settle(&mut self) {
         self.workers.settle();
-        let due = self.wait_queue.due(self.now);
+        let due = self.wait_queue.stale(self.now);
         for id in self.jobs.take_touched().into_iter().chain(due) {
-            let queued = self.jobs.get(&id).and_then(|job| self.queued(job));
-            self.wait_queue.put(id, queued);
+            let queued = self.jobs.get(&id).and_then(|job| self.queue_entry(job));
+            self.wait_queue.update(id, queued);
         }
     }
 
@@ -289,7 +290,7 @@
                 self.stirred = false;
                 self.schedule();
             }
-            self.write();
+            self.write_batch();
         }
         self.drop_submissions();
         self.look_around();
--- a/crates/cell/src/choices.rs
+++ b/crates/cell/src/choices.rs
@@ -28,10 +28,10 @@
 pub(crate) struct Choices {
     pub(crate) made: Vec<Choice>,
     /// Tasks of the step on each worker; left empty if that does not matter.
-    pub(crate) beside: Map<WorkerId, u32>,
+    pub(crate) per_worker: Map<WorkerId, u32>,
     /// Rack on which the step begins, where that matters.
     pub(crate) rack: Option<String>,
-    pub(crate) home: Option<Affinity>,
+    pub(crate) affinity: Option<Affinity>,
     /// What the team has running with them.
     pub(crate) used: Room,
     pub(crate) cap: Cap,
@@ -40,14 +40,14 @@
 impl Choices {
     pub(crate) fn add(&mut self, choice: Choice, step: &Step, entry: Option<&WorkerEntry>) {
         if let Some(entry) = entry {
-            self.home.get_or_insert_with(|| Affinity::of(entry));
+            self.affinity.get_or_insert_with(|| Affinity::of(entry));
             if step.tight && self.rack.is_none() {
                 self.rack = entry.rack().map(str::to_owned);
             }
         }
         self.used += step.room;
         if step.spread > 0 {
-            *self.beside.entry(choice.worker.clone()).or_default() += 1;
+            *self.per_worker.entry(choice.worker.clone()).or_default() += 1;
         }
         self.made.push(choice);
     }
--- a/crates/cell/src/commit.rs
+++ b/crates/cell/src/commit.rs
@@ -5,49 +5,49 @@
 use cactuswheel_model::{Map, Set, Time};
 use cactuswheel_work::{JobId, JobState, WorkerId};
 
-use crate::batch::{Batch, Consequences, Mark};
+use crate::batch::{Batch, BatchEffects, BatchId};
 use crate::cell::Cell;
-use crate::finished::{Finished, Kept};
+use crate::finished::{Finished, FinishedJob};
 use crate::journal::{JobRecord, encode};
 use crate::output::Output;
 
 /// About what an order to start takes beside what the job runs, in bytes.
-const ORDER_SIZE: usize = 300;
+const ORDER_BYTES: usize = 300;
 
 /// Time between two requests to drop submissions: each takes an append for each partition of the
 /// intake, and a takeover reads what was not dropped.
-const DROP_EVERY: Duration = Duration::from_millis(2_000);
+const DROP_INTERVAL: Duration = Duration::from_millis(2_000);
 
 impl Cell {
     /// The batch is in the journal.
-    pub fn appended(&mut self, now: Time, mark: Mark) {
+    pub fn appended(&mut self, now: Time, batch: BatchId) {
         self.now = now;
-        let Some((_, done)) = self.flying.take_if(|(m, _)| *m == mark) else {
+        let Some((_, effects)) = self.flying.take_if(|(current, _)| *current == batch) else {
             return;
         };
         let took = now.since(self.written);
-        self.backlog.appended(took);
-        self.admission.appended(took);
-        for id in &done.accepted {
-            if let Some(job) = self.jobs.observe(id) {
+        self.backlog.record_append(took);
+        self.admission.record_append(took);
+        for id in &effects.accepted {
+            if let Some(job) = self.jobs.get_mut_untracked(id) {
                 job.in_journal = true;
             }
         }
-        if !done.accepted.is_empty() {
-            self.out.push(Output::Accepted(done.accepted));
+        if !effects.accepted.is_empty() {
+            self.out.push(Output::Accepted(effects.accepted));
         }
-        for (id, state) in done.states {
+        for (id, state) in effects.states {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.shown = Some(state);
+                job.journaled = Some(state);
             }
         }
-        for (id, finished) in done.finished {
-            self.keep(id, finished);
+        for (id, finished) in effects.finished {
+            self.retain_finished(id, finished);
         }
-        for (id, born, number) in done.ends {
+        for (id, born, number) in effects.ends {
             self.acknowledge(&id, born, number);
         }
-        for start in done.starts {
+        for start in effects.starts {
             self.order(start);
         }
     }
@@ -57,29 +57,29 @@
     /// Failure: finished jobs stay in the intake with all that they ran, a new owner reads them
     /// all before it starts anything, and on a narrow link that takes seconds. The journal's
     /// record says all that callers may still ask, so the submission can go.
-    fn keep(&mut self, id: JobId, job: Finished) {
+    fn retain_finished(&mut self, id: JobId, job: Finished) {
         let known = self.jobs.remove(&id);
         // A cancel stands in the intake wherever the submission is.
-        let elsewhere = known.as_ref().is_some_and(|j| !j.in_intake);
+        let journal_only = known.as_ref().is_some_and(|j| !j.in_intake);
         let cancelled = job.state == JobState::Cancelled;
         let ended = known.and_then(|j| j.ended).unwrap_or(self.now);
-        self.remember(id, Kept { job, ended });
-        self.wait_queue.put(id, None);
+        self.insert_finished(id, FinishedJob { job, ended });
+        self.wait_queue.update(id, None);
         self.tickets.retain(|step, _| step.job != id);
-        if cancelled || !elsewhere {
+        if cancelled || !journal_only {
             self.unneeded.push(id);
         }
     }
 
-    pub(crate) fn remember(&mut self, id: JobId, kept: Kept) {
-        if self.finished.insert(id, kept).is_none() {
+    pub(crate) fn insert_finished(&mut self, id: JobId, entry: FinishedJob) {
+        if self.finished.insert(id, entry).is_none() {
             self.oldest.push_back(id);
         }
     }
 
     /// Asks to drop the submissions of finished jobs, many at a time.
     pub(crate) fn drop_submissions(&mut self) {
-        let due = self.now.since(self.last_drop) >= DROP_EVERY;
+        let due = self.now.since(self.last_drop) >= DROP_INTERVAL;
         if self.unneeded.is_empty() || !due {
             return;
         }
@@ -89,13 +89,13 @@
     }
 
     /// Puts what changed into a batch.
-    pub(crate) fn write(&mut self) {
+    pub(crate) fn write_batch(&mut self) {
         if self.dirty.is_empty() {
-            return self.note_ends();
+            return self.mark_ends_written();
         }
         let mut draft = Draft::default();
         let orders = self.order_sizes();
-        for id in self.in_order() {
+        for id in self.write_order() {
             if draft.size >= self.bounds.batch {
                 self.dirty.insert(id);
                 self.late.insert(id);
@@ -108,20 +108,20 @@
         let planned = std::mem::take(&mut self.planned).into_iter();
         let (later, now): (Vec<_>, Vec<_>) = planned.partition(|p| left.contains(&p.task.job()));
         self.planned = later;
-        self.admission.wrote(now.len(), draft.size);
-        self.backlog.wrote(now.len(), draft.size);
-        draft.done.starts = now;
+        self.admission.record_write(now.len(), draft.size);
+        self.backlog.record_write(now.len(), draft.size);
+        draft.effects.starts = now;
         self.workers.settle();
         let left = &self.dirty;
         let fresh = self.workers.fresh();
         let ends = fresh.map(|w| (w.id.clone(), w.born, w.written(left)));
-        draft.done.ends = ends.collect();
+        draft.effects.ends = ends.collect();
         self.written = self.now;
-        let mark = Mark(self.next_mark);
+        let number = BatchId(self.next_mark);
         self.next_mark += 1;
-        self.flying = Some((mark, draft.done));
+        self.flying = Some((number, draft.effects));
         self.out.push(Output::Append(Batch {
-            mark,
+            number,
             submissions: draft.submissions,
             records: draft.records,
         }));
@@ -129,7 +129,7 @@
 
     /// What changed, in the order in which it is written: lasting work that is about to start earns by
     /// the second, and what a full batch has left out before goes ahead of the rest.
-    fn in_order(&mut self) -> Vec<JobId> {
+    fn write_order(&mut self) -> Vec<JobId> {
         let late = std::mem::take(&mut self.late);
         let planned = self.planned.iter().map(|p| p.task.job());
         let lasting = planned.filter(|id| self.jobs.get(id).is_some_and(|j| j.sub.lasting()));
@@ -151,13 +151,13 @@
             let id = start.task.job();
             let job = self.jobs.get(&id).filter(|_| !self.named);
             let spec = job.map_or(0, |j| j.sub.spec.len());
-            *sizes.entry(id).or_default() += ORDER_SIZE + spec;
+            *sizes.entry(id).or_default() += ORDER_BYTES + spec;
         }
         sizes
     }
 
     /// Ends of runs that no job knows change nothing; they need no journal.
-    fn note_ends(&mut self) {
+    fn mark_ends_written(&mut self) {
         self.workers.settle();
         let fresh: Vec<WorkerId> = self.workers.fresh().map(|w| w.id.clone()).collect();
         for id in fresh {
@@ -175,7 +175,7 @@
         let job = self.jobs.get(&id);
         let record = job.map(JobRecord::new);
         if let Some(handed) = self.handed.remove(&id) {
-            draft.done.accepted.push(id);
+            draft.effects.accepted.push(id);
             // The last record stands by itself.
             if matches!(record, Some(JobRecord::Open(_))) {
                 draft.size += handed.len();
@@ -183,13 +183,13 @@
             }
         }
         if let Some(job) = job.filter(|j| j.state.is_final()) {
-            draft.done.states.push((id, job.state));
+            draft.effects.states.push((id, job.state));
         }
         if let Some(JobRecord::Finished(last)) = &record {
             if job.is_some_and(|j| j.in_journal) {
                 draft.submissions.push((id, None));
             }
-            draft.done.finished.push((id, last.clone()));
+            draft.effects.finished.push((id, last.clone()));
         }
         let record = record.map(|r| encode(&r));
         draft.size += record.as_ref().map_or(0, Vec::len);
@@ -202,7 +202,7 @@
 struct Draft {
     submissions: Vec<(JobId, Option<Vec<u8>>)>,
     records: Vec<(JobId, Option<Vec<u8>>)>,
-    done: Consequences,
+    effects: BatchEffects,
     /// Bytes so far.
     size: usize,
 }
--- a/crates/cell/src/demand.rs
+++ b/crates/cell/src/demand.rs
@@ -9,59 +9,64 @@
 use crate::cell::Cell;
 use crate::forecast::{Forecast, SLOT_MS, SLOTS};
 use crate::job::Job;
-use crate::learned::Learned;
+use crate::learned::QueueStats;
 use crate::run_state::Turn;
 use crate::view::Load;
 
 /// A job that waited for longer than this for its owner says nothing of how many come now.
-const RECENT: Duration = Duration::from_millis(1_000);
+const MAX_ARRIVAL_AGE: Duration = Duration::from_millis(1_000);
 
 /// The same of a job that an earlier owner has taken in. Most of those that came before are done,
 /// and are not known any more.
-const RECENT_BEFORE: Duration = Duration::from_millis(1_500);
+const MAX_RESTORED_AGE: Duration = Duration::from_millis(1_500);
 
 /// Share of its work, in percent, from which a run's progress tells more than a guess.
-const TELLING: u64 = 10;
+const MIN_PROGRESS_PERCENT: u64 = 10;
 
 /// Thousandths of a core.
 const MILLI: u64 = 1_000;
 
 /// Beyond the last slot, in milliseconds.
-const NEVER: u64 = SLOTS as u64 * SLOT_MS;
+const HORIZON_MS: u64 = SLOTS as u64 * SLOT_MS;
 
 impl Cell {
     /// Counts a short job that has arrived, and learns from what it asks for.
     pub(crate) fn count_arrival(&mut self, job: &Job) {
-        let recent = match self.restoring {
-            true => RECENT_BEFORE,
-            false => RECENT,
+        let max_age = match self.restoring {
+            true => MAX_RESTORED_AGE,
+            false => MAX_ARRIVAL_AGE,
         };
-        if job.sub.lasting() || self.now.since(job.arrived) > recent {
+        if job.sub.lasting() || self.now.since(job.arrived) > max_age {
             return;
         }
         let learned = self.learned.entry(job.sub.queue.clone()).or_default();
-        let mut course = Forecast::default();
+        let mut profile = Forecast::default();
         for turn in &job.turns {
-            let mut demand = Demand::new(&mut course, learned);
+            let mut demand = Demand::new(&mut profile, learned);
             demand.add_turn(job, turn, |_, free| free);
         }
-        learned.arrive(&course);
+        learned.record_arrival(&profile);
         if self.restoring {
-            learned.arrivals.earlier.push(job.arrived);
+            learned.arrivals.restored.push(job.arrived);
         }
     }
 
     /// Adds what an open short job asks for now and later; what waits only as far as its team's
     /// limit lets it start, and apart from the rest if it is of no use any more.
-    pub(crate) fn add_forecast(&self, job: &Job, load: &mut Load, left: &mut Map<TeamName, Room>) {
+    pub(crate) fn add_forecast(
+        &self,
+        job: &Job,
+        load: &mut Load,
+        remaining: &mut Map<TeamName, Room>,
+    ) {
         let overdue = self.rank(job).0.is_late();
-        let nothing = Learned::default();
-        let learned = self.learned.get(&job.sub.queue).unwrap_or(&nothing);
+        let untrained = QueueStats::default();
+        let learned = self.learned.get(&job.sub.queue).unwrap_or(&untrained);
         for turn in &job.turns {
             let mut demand = Demand::new(&mut load.forecast, learned);
             demand.now = self.now.get();
             demand.add_turn(job, turn, |step, free| {
-                let free = self.startable(job, step, free, left);
+                let free = self.startable(job, step, free, remaining);
                 if overdue {
                     load.overdue += step.reserved() * free;
                     return 0;
@@ -78,14 +83,14 @@
 /// Adds up what the steps of an occurrence ask for, one after the other.
 struct Demand<'a> {
     forecast: &'a mut Forecast,
-    learned: &'a Learned,
+    learned: &'a QueueStats,
     now: u64,
     /// When each step is done, in milliseconds from now.
     ends: Vec<u64>,
 }
 
 impl<'a> Demand<'a> {
-    fn new(forecast: &'a mut Forecast, learned: &'a Learned) -> Self {
+    fn new(forecast: &'a mut Forecast, learned: &'a QueueStats) -> Self {
         Self {
             forecast,
             learned,
@@ -102,16 +107,16 @@
         for (run, step) in turn.steps.iter().zip(job.sub.steps.iter()) {
             let after = step.after.iter().map(|&s| self.ends[s as usize]);
             let begin = after.max().unwrap_or_default();
-            if run.is_done() || begin >= NEVER {
+            if run.is_done() || begin >= HORIZON_MS {
                 self.ends.push(begin);
                 continue;
             }
-            let whole = self.learned.run_time(step.estimate);
+            let expected = self.learned.run_time(step.estimate);
             let mut end = begin;
             for attempt in run.tasks.iter().flat_map(|t| &t.attempts) {
-                let left = self.left(attempt, whole);
-                self.forecast.add(step.reserved(), 0, left);
-                end = end.max(left);
+                let remaining = self.remaining(attempt, expected);
+                self.forecast.add(step.reserved(), 0, remaining);
+                end = end.max(remaining);
             }
             let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
             let starting = match free > 0 && turn.is_ready(step) {
@@ -119,10 +124,10 @@
                 false => free,
             };
             self.forecast
-                .add(step.reserved() * starting, begin, begin + whole);
+                .add(step.reserved() * starting, begin, begin + expected);
             end = match starting < free {
-                true => NEVER,
-                false if free > 0 => end.max(begin + whole),
+                true => HORIZON_MS,
+                false if free > 0 => end.max(begin + expected),
                 false => end,
             };
             self.ends.push(end);
@@ -130,18 +135,18 @@
     }
 
     /// Time, in milliseconds, that a run has left of a task that takes `whole`.
-    fn left(&self, attempt: &Attempt, whole: u64) -> u64 {
+    fn remaining(&self, attempt: &Attempt, run_time: u64) -> u64 {
         if attempt.phase == Phase::Stopping {
             return SLOT_MS;
         }
-        let begun = attempt.started.get();
+        let start = attempt.started.get();
         let percent = u64::from(attempt.percent);
-        let whole = match percent >= TELLING && attempt.phase == Phase::Running {
-            true => attempt.moved.get().saturating_sub(begun) * 100 / percent,
-            false => whole,
+        let run_time = match percent >= MIN_PROGRESS_PERCENT && attempt.phase == Phase::Running {
+            true => attempt.moved.get().saturating_sub(start) * 100 / percent,
+            false => run_time,
         };
-        let gone = self.now.saturating_sub(begun);
+        let elapsed = self.now.saturating_sub(start);
         // What should be over has a little left still.
-        whole.saturating_sub(gone).max(whole / 8)
+        run_time.saturating_sub(elapsed).max(run_time / 8)
     }
 }
--- a/crates/cell/src/ends.rs
+++ b/crates/cell/src/ends.rs
@@ -316,7 +316,7 @@
         run: u32,
         id: &WorkerId,
     ) -> Option<&mut Attempt> {
-        let job = self.jobs.observe(&task.job())?;
+        let job = self.jobs.get_mut_untracked(&task.job())?;
         let attempts = &mut job.task_mut(task)?.attempts;
         attempts
             .iter_mut()
--- a/crates/cell/src/evacuation.rs
+++ b/crates/cell/src/evacuation.rs
@@ -11,7 +11,7 @@
 use crate::free_index::Scope;
 use crate::job::Job;
 use crate::run_state::StepRun;
-use crate::schedule::beside;
+use crate::schedule::attempts_by_worker;
 
 /// Time between two tries to let lasting work leave: a start elsewhere is seen at work after
 /// some hundred milliseconds, and each try looks at every run that may leave.
@@ -141,7 +141,7 @@
     /// it has room, the label, and fewer than that.
     fn has_place(&self, job: &Job, step: &Step, run: &StepRun) -> bool {
         let service = self.service_of(job);
-        let beside = beside(run);
+        let beside = attempts_by_worker(run);
         let Some(free_index) = self.workers.free_index(&service) else {
             return false;
         };
--- a/crates/cell/src/finished.rs
+++ b/crates/cell/src/finished.rs
@@ -28,7 +28,7 @@
 
 /// A finished job in its cell.
 #[derive(Debug)]
-pub(crate) struct Kept {
+pub(crate) struct FinishedJob {
     pub(crate) job: Finished,
     /// When it reached its final state, as far as this owner knows.
     pub(crate) ended: Time,
--- a/crates/cell/src/forecast.rs
+++ b/crates/cell/src/forecast.rs
@@ -16,7 +16,7 @@
 
 impl Forecast {
     /// The same room in every slot.
-    pub fn steady(room: Room) -> Self {
+    pub fn constant(room: Room) -> Self {
         Self {
             slots: [room; SLOTS],
         }
@@ -30,29 +30,29 @@
     /// Asks for `room` between two times, in milliseconds from now.
     pub fn add(&mut self, room: Room, from: u64, until: u64) {
         let slot = |at: u64| (at / SLOT_MS).min(SLOTS as u64) as usize;
-        let reached = slot(from)..slot(until.saturating_add(SLOT_MS - 1));
-        for slot in reached {
-            let asked = &mut self.slots[slot];
+        let covered = slot(from)..slot(until.saturating_add(SLOT_MS - 1));
+        for slot in covered {
+            let total = &mut self.slots[slot];
             let begin = slot as u64 * SLOT_MS;
             let shared = until.min(begin + SLOT_MS).saturating_sub(from.max(begin));
-            *asked += part(room, shared, SLOT_MS);
+            *total += fraction(room, shared, SLOT_MS);
         }
     }
 
     /// Moves a mean of `count` profiles, this one included, towards `newest`.
     pub(crate) fn average(&mut self, newest: &Self, count: u64) {
         for (mean, newest) in self.slots.iter_mut().zip(&newest.slots) {
-            *mean = part(*mean * (count - 1) + *newest, 1, count);
+            *mean = fraction(*mean * (count - 1) + *newest, 1, count);
         }
     }
 }
 
 /// `share` parts of `whole` of a room.
-fn part(room: Room, share: u64, whole: u64) -> Room {
-    let part = |amount: u64| amount.saturating_mul(share) / whole;
+fn fraction(room: Room, share: u64, whole: u64) -> Room {
+    let fraction = |amount: u64| amount.saturating_mul(share) / whole;
     Room {
-        cpu: part(room.cpu),
-        memory: part(room.memory),
-        gpu: part(room.gpu),
+        cpu: fraction(room.cpu),
+        memory: fraction(room.memory),
+        gpu: fraction(room.gpu),
     }
 }
--- a/crates/cell/src/hand_in.rs
+++ b/crates/cell/src/hand_in.rs
@@ -41,7 +41,7 @@
         if self.finished.contains_key(&id) {
             return Standing::Stored;
         }
-        match self.jobs.get(&id).map(Job::stored) {
+        match self.jobs.get(&id).map(Job::is_stored) {
             Some(true) => Standing::Stored,
             Some(false) => Standing::Pending,
             None => Standing::Unknown,
@@ -58,7 +58,7 @@
             return HandIn::Accepted;
         }
         if let Some(job) = self.jobs.get(&id) {
-            return match job.stored() {
+            return match job.is_stored() {
                 true => HandIn::Accepted,
                 false => HandIn::Journaling,
             };
@@ -67,7 +67,7 @@
             return HandIn::Busy;
         }
         self.submit(now, sub, Duration::ZERO);
-        if let Some(job) = self.jobs.observe(&id) {
+        if let Some(job) = self.jobs.get_mut_untracked(&id) {
             job.in_intake = false;
         }
         self.handed.insert(id, record);
@@ -80,7 +80,7 @@
         let id = sub.job;
         let known = self.jobs.contains(&id);
         self.submit(now, sub, age);
-        if let Some(job) = self.jobs.observe(&id) {
+        if let Some(job) = self.jobs.get_mut_untracked(&id) {
             job.in_journal = true;
             job.in_intake &= known;
         }
@@ -89,7 +89,7 @@
 
 impl Job {
     /// Whether the store holds its submission.
-    pub(crate) fn stored(&self) -> bool {
+    pub(crate) fn is_stored(&self) -> bool {
         self.in_intake || self.in_journal
     }
 }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -15,7 +15,7 @@
     /// Where it stands, queued and running not told apart.
     pub(crate) state: JobState,
     /// The final state that the journal holds, if any: what may be shown.
-    pub(crate) shown: Option<JobState>,
+    pub(crate) journaled: Option<JobState>,
     /// Occurrences that were due, in order.
     pub(crate) turns: Vec<Turn>,
     /// When its caller handed it in.
@@ -29,7 +29,7 @@
     /// Whether it is beyond its team's share: with the fleet full it waits for the others.
     pub(crate) over_share: bool,
     /// Whether this owner has planned a run of it.
-    pub(crate) begun: bool,
+    pub(crate) ever_planned: bool,
     /// Tasks that were started anew after a run had been given up unseen.
     pub(crate) redone: Vec<Redone>,
     /// The intake holds its submission.
@@ -46,14 +46,14 @@
         Self {
             sub,
             state: JobState::Queued,
-            shown: None,
+            journaled: None,
             turns: Vec::new(),
             arrived,
             ended: None,
             tails,
             started: false,
             over_share: false,
-            begun: false,
+            ever_planned: false,
             redone: Vec::new(),
             in_intake: true,
             in_journal: false,
@@ -95,9 +95,9 @@
     }
 
     /// The state that callers see.
-    pub(crate) fn visible(&self) -> JobState {
-        if let Some(shown) = self.shown {
-            return shown;
+    pub(crate) fn reported_state(&self) -> JobState {
+        if let Some(journaled) = self.journaled {
+            return journaled;
         }
         match self.started {
             true => JobState::Running,
--- a/crates/cell/src/jobs.rs
+++ b/crates/cell/src/jobs.rs
@@ -27,7 +27,7 @@
     }
 
     /// A job of which something changes that has no part in what waits, nor in its rank.
-    pub(crate) fn observe(&mut self, id: &JobId) -> Option<&mut Job> {
+    pub(crate) fn get_mut_untracked(&mut self, id: &JobId) -> Option<&mut Job> {
         self.all.get_mut(id)
     }
 
--- a/crates/cell/src/journal.rs
+++ b/crates/cell/src/journal.rs
@@ -20,7 +20,7 @@
 
 /// A record that cannot be read.
 #[derive(Debug, thiserror::Error)]
-pub enum BadRecord {
+pub enum DecodeError {
     /// Another version wrote it.
     #[error("record of version {0:?}")]
     Version(Option<u8>),
@@ -104,10 +104,10 @@
 }
 
 /// Decodes a [`JobRecord`] or a [`Submission`].
-pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, BadRecord> {
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => Ok(options().deserialize(rest)?),
-        other => Err(BadRecord::Version(other.map(|(v, _)| *v))),
+        other => Err(DecodeError::Version(other.map(|(v, _)| *v))),
     }
 }
 
@@ -142,7 +142,7 @@
         job.state = self.state;
         job.redone = self.redone;
         if self.state.is_final() {
-            job.shown = Some(self.state);
+            job.journaled = Some(self.state);
             job.ended = Some(now);
         }
         let sub = job.sub.clone();
@@ -151,7 +151,7 @@
             now,
         };
         let turns = self.turns.into_iter();
-        job.turns = turns.map(|t| t.turn(&sub, &places)).collect();
+        job.turns = turns.map(|t| t.into_turn(&sub, &places)).collect();
         let mut tasks = job
             .turns
             .iter()
@@ -191,10 +191,10 @@
         }
     }
 
-    fn turn(self, sub: &Submission, places: &Places<'_>) -> Turn {
+    fn into_turn(self, sub: &Submission, places: &Places<'_>) -> Turn {
         let mut turn = Turn::new(self.number, &sub.steps);
         for (run, record) in turn.steps.iter_mut().zip(self.steps) {
-            record.fill(run, places);
+            record.restore_into(run, places);
         }
         turn
     }
@@ -209,10 +209,10 @@
         }
     }
 
-    fn fill(self, step: &mut StepRun, places: &Places<'_>) {
+    fn restore_into(self, step: &mut StepRun, places: &Places<'_>) {
         step.fails = self.fails;
         for (task, record) in step.tasks.iter_mut().zip(self.tasks) {
-            *task = record.task(places);
+            *task = record.into_task(places);
         }
         step.done = step.tasks.iter().filter(|t| t.done).count() as u32;
     }
@@ -223,16 +223,16 @@
         if task.done && task.attempts.is_empty() {
             return Self::Done;
         }
-        let blameless = task.fails.is_empty() && task.crashes.is_empty();
-        let bare = blameless && task.checkpoint.is_empty() && !task.given_up;
+        let no_failures = task.fails.is_empty() && task.crashes.is_empty();
+        let plain = no_failures && task.checkpoint.is_empty() && !task.given_up;
         match (task.run, task.attempts.as_slice()) {
-            (0, []) if bare => Self::Fresh,
-            (1, [attempt]) if bare && !task.done => Self::First(place(attempt, places)),
+            (0, []) if plain => Self::Fresh,
+            (1, [attempt]) if plain && !task.done => Self::First(place_index(attempt, places)),
             _ => Self::Other(OtherRecord::new(task, places)),
         }
     }
 
-    fn task(self, places: &Places<'_>) -> Task {
+    fn into_task(self, places: &Places<'_>) -> Task {
         match self {
             Self::Fresh => Task::default(),
             Self::Done => Task {
@@ -247,7 +247,7 @@
                 attempts: places.attempt(place, 1).into_iter().collect(),
                 ..Task::default()
             },
-            Self::Other(record) => record.task(places),
+            Self::Other(record) => record.into_task(places),
         }
     }
 }
@@ -262,11 +262,11 @@
             checkpoint: task.checkpoint.clone(),
             given_up: task.given_up,
             crashes: task.crashes.clone(),
-            attempts: attempts.map(|c| (place(c, places), c.run)).collect(),
+            attempts: attempts.map(|c| (place_index(c, places), c.run)).collect(),
         }
     }
 
-    fn task(self, places: &Places<'_>) -> Task {
+    fn into_task(self, places: &Places<'_>) -> Task {
         let attempts = self.attempts.into_iter();
         Task {
             run: self.run,
@@ -285,7 +285,7 @@
 }
 
 /// Number of a run's place in the record.
-fn place(attempt: &Attempt, places: &mut Vec<PlaceRecord>) -> u32 {
+fn place_index(attempt: &Attempt, places: &mut Vec<PlaceRecord>) -> u32 {
     let mut known = places.iter();
     let at = known.position(|p| p.worker == attempt.worker && p.born == attempt.born);
     let at = at.unwrap_or_else(|| {
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -59,14 +59,14 @@
 mod worker;
 mod workers;
 
-pub use admission::{Slack, Waits};
-pub use batch::{Batch, Mark};
+pub use admission::{Slack, StartDelay};
+pub use batch::{Batch, BatchId};
 pub use bounds::Bounds;
 pub use cell::Cell;
 pub use finished::Finished;
 pub use forecast::{Forecast, SLOT_MS, SLOTS};
 pub use hand_in::{HandIn, Standing};
-pub use journal::{BadRecord, JobRecord, decode, encode};
+pub use journal::{DecodeError, JobRecord, decode, encode};
 pub use learned::Arrivals;
 pub use output::Output;
 pub use policy::WorkPolicy;
--- a/crates/cell/src/loads.rs
+++ b/crates/cell/src/loads.rs
@@ -4,7 +4,7 @@
 use cactuswheel_work::{JobId, JobState, QueueName, Room, ServiceName, Step, TeamName, WorkerId};
 
 use crate::cell::Cell;
-use crate::finished::Kept;
+use crate::finished::FinishedJob;
 use crate::job::Job;
 use crate::view::{JobView, Load, RunView, WorkerView};
 
@@ -118,7 +118,7 @@
         });
         Some(JobView {
             queue: job.sub.queue.clone(),
-            state: job.visible(),
+            state: job.reported_state(),
             age: self.now.since(job.arrived),
             done: tasks.iter().filter(|t| t.done).count(),
             waiting: tasks.iter().filter(|t| t.is_free()).count(),
@@ -126,7 +126,7 @@
         })
     }
 
-    fn finished_view(&self, kept: &Kept) -> JobView {
+    fn finished_view(&self, kept: &FinishedJob) -> JobView {
         JobView {
             queue: kept.job.queue.clone(),
             state: kept.job.state,
@@ -144,7 +144,7 @@
         for job in self.open.iter().filter_map(|id| self.jobs.get(id)) {
             let count = found.entry(job.sub.queue.clone()).or_default();
             count.0 += 1;
-            count.1 += u64::from(job.visible() == JobState::Queued);
+            count.1 += u64::from(job.reported_state() == JobState::Queued);
         }
         found
     }
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -38,7 +38,7 @@
     /// On this worker.
     At(WorkerId),
     /// Nowhere: no worker that may take it has room.
-    Nowhere,
+    NoFit,
     /// Nowhere yet, since it may take its worker down. This worker is to be kept free of other
     /// starts until it has outlived those that are there.
     Reserve(WorkerId),
@@ -51,7 +51,7 @@
 pub(crate) struct Constraints<'a> {
     pub(crate) step: &'a Step,
     /// Tasks of the step on each worker.
-    pub(crate) beside: &'a Map<WorkerId, u32>,
+    pub(crate) per_worker: &'a Map<WorkerId, u32>,
     /// The task may take its worker down.
     pub(crate) suspect: bool,
     /// Worker on which the task failed.
@@ -59,11 +59,11 @@
     /// Rack on which the rest of the step runs, where that matters.
     pub(crate) rack: Option<&'a str>,
     /// Where the job's other tasks are, if any runs.
-    pub(crate) home: Option<&'a Affinity>,
+    pub(crate) affinity: Option<&'a Affinity>,
     /// Workers that the queue's policy allows; `None` if it has none.
     pub(crate) allowed: Option<&'a [WorkerId]>,
     /// Workers on instances that are to be maintained before long.
-    pub(crate) due: &'a Set<WorkerId>,
+    pub(crate) maintenance: &'a Set<WorkerId>,
     /// Whether the fullest worker goes first, or the emptiest.
     pub(crate) pack: bool,
 }
@@ -93,25 +93,26 @@
     now: Time,
 ) -> Option<&'a Worker> {
     let near = constraints.rack.or(constraints.step.near.as_deref());
-    let home = constraints.home;
-    let rack = home.and_then(|h| Some(Scope::Rack(&h.zone, h.rack.as_deref()?)));
+    let affinity = constraints.affinity;
+    let rack = affinity.and_then(|a| Some(Scope::Rack(&a.zone, a.rack.as_deref()?)));
     let scopes = [
         near.map(Scope::Named),
         rack,
-        home.map(|h| Scope::Zone(&h.zone)),
+        affinity.map(|a| Scope::Zone(&a.zone)),
         Some(Scope::All),
     ];
-    let sound = |w: &Worker| constraints.avoid != Some(&w.id) && fits(w, constraints, now);
+    let acceptable = |w: &Worker| constraints.avoid != Some(&w.id) && fits(w, constraints, now);
     let mut scopes = scopes.into_iter().flatten();
-    let found = scopes.find_map(|scope| first(workers, free_index, scope, constraints, &sound));
+    let found =
+        scopes.find_map(|scope| first_match(workers, free_index, scope, constraints, &acceptable));
     found.or_else(|| {
         let failed = workers.get(constraints.avoid?)?;
         let any = |w: &Worker| w.id == failed.id && fits(w, constraints, now);
-        first(workers, free_index, Scope::All, constraints, &any)
+        first_match(workers, free_index, Scope::All, constraints, &any)
     })
 }
 
-fn first<'a>(
+fn first_match<'a>(
     workers: &'a Workers,
     free_index: &FreeIndex,
     scope: Scope<'_>,
@@ -142,17 +143,21 @@
 pub(crate) fn fits(w: &Worker, constraints: &Constraints<'_>, now: Time) -> bool {
     let step = constraints.step;
     let labels = w.entry.as_ref().map(|e| e.labels.as_slice());
-    let labelled = |label: &String| labels.is_some_and(|l| l.contains(label));
-    let apart = || {
-        let beside = constraints.beside.get(&w.id).copied().unwrap_or_default();
-        step.spread == 0 || beside < step.spread
+    let has_label = |label: &String| labels.is_some_and(|l| l.contains(label));
+    let spread_ok = || {
+        let per_worker = constraints
+            .per_worker
+            .get(&w.id)
+            .copied()
+            .unwrap_or_default();
+        step.spread == 0 || per_worker < step.spread
     };
     step.reserved().fits(w.free())
         && w.is_open(now)
         && (constraints.suspect || !w.is_reserved(now))
         && (!w.health.is_on_trial() || w.held.is_empty())
-        && step.label.as_ref().is_none_or(labelled)
-        && apart()
+        && step.label.as_ref().is_none_or(has_label)
+        && spread_ok()
         && constraints.allowed.is_none_or(|a| a.contains(&w.id))
 }
 
@@ -174,15 +179,15 @@
     let disturbs = (step.filler && w.serving > 0) || (step.serves() && w.fillers > 0);
     // Failure: lasting work that leaves for a wave goes to an instance of the same wave, and has
     // to leave again; its budget lets one task move at a time, so the wave is late.
-    let moves_again = step.lasting && constraints.due.contains(&w.id);
-    let company = match step.lasting {
+    let evicted_again = step.lasting && constraints.maintenance.contains(&w.id);
+    let lasting_runs = match step.lasting {
         true => w.lasting,
         false => 0,
     };
-    let left = match constraints.pack {
+    let cpu_rank = match constraints.pack {
         true => w.free().cpu,
         false => u64::MAX - w.free().cpu,
     };
-    let company = std::cmp::Reverse(company);
-    (failed, far, disturbs, moves_again, company, left)
+    let lasting_runs = std::cmp::Reverse(lasting_runs);
+    (failed, far, disturbs, evicted_again, lasting_runs, cpu_rank)
 }
--- a/crates/cell/src/rank.rs
+++ b/crates/cell/src/rank.rs
@@ -15,7 +15,7 @@
 pub(crate) const LATE_FACTOR: f64 = 3.0;
 
 /// A rank with this end does not change by the time alone.
-const NEVER: Time = Time::new(u64::MAX);
+const NO_EXPIRY: Time = Time::new(u64::MAX);
 
 /// Order of jobs; the least goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -23,7 +23,7 @@
     class: Class,
     priority: u32,
     /// Work was begun: finishing it earns the most for what is left.
-    fresh: bool,
+    not_started: bool,
     /// Time by which it has to start, or since when it waits.
     at: Time,
 }
@@ -46,9 +46,9 @@
 
 impl Rank {
     /// The same, whether the job has begun or not.
-    pub(crate) fn without_begun(self) -> Self {
+    pub(crate) fn ignoring_started(self) -> Self {
         Self {
-            fresh: false,
+            not_started: false,
             ..self
         }
     }
@@ -74,22 +74,22 @@
 
 /// The rank of a job at `now`, and until when it holds; its work takes `longer` times as long as
 /// its caller guesses.
-pub(crate) fn rank(job: &Job, queue: Option<&Queue>, longer: f64, now: Time) -> (Rank, Time) {
+pub(crate) fn rank(job: &Job, queue: Option<&Queue>, slowdown: f64, now: Time) -> (Rank, Time) {
     let priority = queue.map_or(u32::MAX, |q| q.priority);
     if job.sub.lasting() {
         let rank = Rank {
             class: Class::Lasting,
             priority,
-            fresh: false,
+            not_started: false,
             at: job.arrived,
         };
-        return (rank, NEVER);
+        return (rank, NO_EXPIRY);
     }
     let (stretch, allowance) = queue.map_or((1.0, 0), |q| (q.stretch, q.allowance.get()));
-    let objective = job.chain() as f64 * longer * stretch + allowance as f64;
-    let left = remaining(job) as f64 * longer;
+    let objective = job.chain() as f64 * slowdown * stretch + allowance as f64;
+    let remaining = remaining_chain(job) as f64 * slowdown;
     let waited = now.since(job.arrived).as_millis() as f64;
-    let slack = objective - left - waited;
+    let slack = objective - remaining - waited;
     if slack >= 0.0 {
         let at = Time::new(now.get() + slack as u64);
         let rank = Rank {
@@ -98,12 +98,12 @@
                 false => Class::Timely,
             },
             priority,
-            fresh: !job.started,
+            not_started: !job.started,
             at,
         };
         return (rank, Time::new(at.get() + 1));
     }
-    let useful = waited + left <= objective * LATE_FACTOR;
+    let useful = waited + remaining <= objective * LATE_FACTOR;
     let class = match (useful, job.over_share) {
         (true, false) => Class::Late,
         (true, true) => Class::LateOverShare,
@@ -112,19 +112,19 @@
     let rank = Rank {
         class,
         priority,
-        fresh: !job.started,
+        not_started: !job.started,
         at: job.arrived,
     };
-    let rest = (objective * LATE_FACTOR - left - waited).max(0.0);
+    let useful_left = (objective * LATE_FACTOR - remaining - waited).max(0.0);
     let until = match useful {
-        true => Time::new(now.get() + rest as u64 + 1),
-        false => NEVER,
+        true => Time::new(now.get() + useful_left as u64 + 1),
+        false => NO_EXPIRY,
     };
     (rank, until)
 }
 
 /// Longest chain of work that is left, by the caller's estimates.
-fn remaining(job: &Job) -> u64 {
+fn remaining_chain(job: &Job) -> u64 {
     let steps = job.turns.iter().flat_map(|t| t.steps.iter().enumerate());
     let open = steps.filter(|(_, s)| !s.is_done());
     open.map(|(i, _)| job.tails[i]).max().unwrap_or_default()
--- a/crates/cell/src/running.rs
+++ b/crates/cell/src/running.rs
@@ -59,7 +59,7 @@
                 job.started = true;
             }
         }
-        let Some(job) = self.jobs.observe(&job_id) else {
+        let Some(job) = self.jobs.get_mut_untracked(&job_id) else {
             return Some(Need::Unwanted);
         };
         let lasting = job.step(row.task).is_some_and(|s| s.lasting);
--- a/crates/cell/src/schedule.rs
+++ b/crates/cell/src/schedule.rs
@@ -12,7 +12,7 @@
 use crate::choices::{Choice, Choices};
 use crate::finished::Redone;
 use crate::job::Job;
-use crate::learned::Learned;
+use crate::learned::QueueStats;
 use crate::place::{Affinity, Constraints, Placement, pick_worker};
 use crate::rank::{Rank, rank};
 use crate::run_state::StepRun;
@@ -26,7 +26,7 @@
 const RANK_TTL: Duration = Duration::from_millis(500);
 
 /// Tasks of a step that wait for a worker.
-struct OpenStep {
+struct PendingStep {
     id: StepId,
     /// Index of the occurrence among those that were due.
     turn: usize,
@@ -38,19 +38,19 @@
 struct Misses {
     count: usize,
     /// Room that no worker of the service has.
-    free_index: Vec<Room>,
+    too_large: Vec<Room>,
 }
 
 impl Misses {
     /// A task found no place; `room` if no worker has that much.
     fn add(&mut self, room: Option<Room>) {
         self.count += 1;
-        self.free_index.extend(room);
+        self.too_large.extend(room);
     }
 
     /// Whether a task that asks for this much cannot have a place either.
-    fn cover(&self, room: Room) -> bool {
-        self.free_index.iter().any(|missed| missed.fits(room))
+    fn covers(&self, room: Room) -> bool {
+        self.too_large.iter().any(|missed| missed.fits(room))
     }
 }
 
@@ -60,13 +60,13 @@
         self.settle();
         for service in self.wait_queue.services() {
             if self.workers.free_index(&service).is_some() {
-                self.fill(&service);
+                self.schedule_service(&service);
             }
         }
     }
 
     /// Finds places on the workers of one service.
-    fn fill(&mut self, service: &ServiceName) {
+    fn schedule_service(&mut self, service: &ServiceName) {
         let mut misses = Misses::default();
         let mut last = None;
         while let Some(next) = self.wait_queue.next(service, last) {
@@ -82,25 +82,25 @@
     pub(crate) fn rank(&self, job: &Job) -> (Rank, Time) {
         let queue = self.config.queues.get(&job.sub.queue);
         let learned = self.learned.get(&job.sub.queue);
-        let longer = learned.map_or(1.0, Learned::stretch);
-        let (rank, until) = rank(job, queue, longer, self.now);
+        let factor = learned.map_or(1.0, QueueStats::slowdown);
+        let (rank, until) = rank(job, queue, factor, self.now);
         match self.policy.begun {
             true => (rank, until),
-            false => (rank.without_begun(), until),
+            false => (rank.ignoring_started(), until),
         }
     }
 
     /// A job's place in its queue; `None` if no task of it waits for a worker.
-    pub(crate) fn queued(&self, job: &Job) -> Option<QueuedJob> {
+    pub(crate) fn queue_entry(&self, job: &Job) -> Option<QueuedJob> {
         if !job.is_open() || !has_free_task(job) {
             return None;
         }
         let (rank, until) = self.rank(job);
-        let (tasks, work) = free_work(job, self.admission.largest);
+        let (tasks, work) = free_work(job, self.admission.largest_worker);
         Some(QueuedJob {
             service: self.service_of(job),
             rank,
-            until: until.min(self.now.after(RANK_TTL)),
+            valid_until: until.min(self.now.after(RANK_TTL)),
             work,
             tasks,
         })
@@ -132,15 +132,15 @@
         service: &ServiceName,
         misses: &mut Misses,
     ) {
-        let Some(at) = self.open_step(id, turn, number, step) else {
+        let Some(pending) = self.pending_step(id, turn, number, step) else {
             return;
         };
-        let allowed = match self.permitted(at.id, service) {
+        let allowed = match self.permitted(pending.id, service) {
             Permitted::Any => None,
             Permitted::Only(workers) => Some(workers),
-            Permitted::Asked => return,
+            Permitted::Pending => return,
         };
-        let choices = self.pick_workers(&at, step, service, allowed.as_deref(), misses);
+        let choices = self.pick_workers(&pending, step, service, allowed.as_deref(), misses);
         if step.gang && choices.len() < step.count as usize {
             for choice in &choices {
                 self.workers.let_go(&choice.worker, choice.task, choice.run);
@@ -153,7 +153,13 @@
     }
 
     /// The tasks of a step that wait for a worker; `None` if there are none.
-    fn open_step(&self, id: JobId, turn: usize, number: usize, step: &Step) -> Option<OpenStep> {
+    fn pending_step(
+        &self,
+        id: JobId,
+        turn: usize,
+        number: usize,
+        step: &Step,
+    ) -> Option<PendingStep> {
         let job = self.jobs.get(&id)?;
         let at = &job.turns[turn];
         if !at.is_ready(step) || at.steps[number].is_done() {
@@ -165,45 +171,45 @@
             turn: at.number,
             step: number as u32,
         };
-        (!free.is_empty()).then_some(OpenStep { id, turn, free })
+        (!free.is_empty()).then_some(PendingStep { id, turn, free })
     }
 
     /// Places for the step's tasks, until one has none.
     fn pick_workers(
         &mut self,
-        at: &OpenStep,
+        pending: &PendingStep,
         step: &Step,
         service: &ServiceName,
         allowed: Option<&[WorkerId]>,
         misses: &mut Misses,
     ) -> Vec<Choice> {
-        let Some(job) = self.jobs.get(&at.id.job) else {
+        let Some(job) = self.jobs.get(&pending.id.job) else {
             return Vec::new();
         };
-        let run = &job.turns[at.turn].steps[at.id.step as usize];
-        let mut chosen = self.begin_choices(job, run, step);
+        let run = &job.turns[pending.turn].steps[pending.id.step as usize];
+        let mut chosen = self.new_choices(job, run, step);
         // What no worker has room for, none has for the rest either.
-        let plain = allowed.is_none() && step.label.is_none() && step.spread == 0;
-        for &index in &at.free {
+        let unconstrained = allowed.is_none() && step.label.is_none() && step.spread == 0;
+        for &index in &pending.free {
             if !chosen.cap.admits(chosen.used, step.room) {
                 // The team's limit says nothing about room: another team's tasks may fit.
                 break;
             }
             // A gang starts at once on several workers.
             let suspect = run.tasks[index].is_suspect() && !step.gang;
-            if !suspect && plain && misses.cover(step.reserved()) {
+            if !suspect && unconstrained && misses.covers(step.reserved()) {
                 misses.add(None);
                 break;
             }
             let constraints = Constraints {
                 step,
-                beside: &chosen.beside,
+                per_worker: &chosen.per_worker,
                 suspect,
                 avoid: run.tasks[index].failed_on.as_ref(),
                 rack: chosen.rack.as_deref(),
-                home: chosen.home.as_ref().filter(|_| self.policy.home),
+                affinity: chosen.affinity.as_ref().filter(|_| self.policy.home),
                 allowed,
-                due: &self.due,
+                maintenance: &self.due,
                 pack: self.policy.pack,
             };
             let worker = match self.place(service, &constraints) {
@@ -214,15 +220,15 @@
                     self.workers.reserve(&worker, self.now);
                     continue;
                 }
-                Placement::Nowhere => {
-                    misses.add(plain.then(|| step.reserved()));
+                Placement::NoFit => {
+                    misses.add(unconstrained.then(|| step.reserved()));
                     break;
                 }
             };
             if suspect {
                 self.workers.reserve(&worker, self.now);
             }
-            let choice = Choice::new(at.id, index, &run.tasks[index], worker);
+            let choice = Choice::new(pending.id, index, &run.tasks[index], worker);
             self.workers
                 .hold(&choice.worker, choice.task, held(choice.run, step));
             let place = self.workers.get(&choice.worker);
@@ -231,16 +237,16 @@
         chosen.made
     }
 
-    fn begin_choices(&self, job: &Job, run: &StepRun, step: &Step) -> Choices {
+    fn new_choices(&self, job: &Job, run: &StepRun, step: &Step) -> Choices {
         let (used, cap) = self.quota(job);
         Choices {
             made: Vec::new(),
-            beside: match step.spread {
+            per_worker: match step.spread {
                 0 => Map::default(),
-                _ => beside(run),
+                _ => attempts_by_worker(run),
             },
-            rack: self.begun_rack(run, step),
-            home: self.home(job),
+            rack: self.current_rack(run, step),
+            affinity: self.affinity(job),
             used,
             cap,
         }
@@ -251,7 +257,7 @@
             return self.place_suspect(service, constraints);
         }
         let worker = pick_worker(&self.workers, service, constraints, self.now);
-        worker.map_or(Placement::Nowhere, Placement::At)
+        worker.map_or(Placement::NoFit, Placement::At)
     }
 
     /// What a job's team has running, and its limit.
@@ -263,14 +269,14 @@
     }
 
     /// Where a job has a run already.
-    fn home(&self, job: &Job) -> Option<Affinity> {
+    fn affinity(&self, job: &Job) -> Option<Affinity> {
         let (_, attempt) = job.attempts().next()?;
         let entry = self.workers.get(&attempt.worker)?.entry.as_ref()?;
         Some(Affinity::of(entry))
     }
 
     /// Rack that a step which should stay on one rack has begun on.
-    fn begun_rack(&self, run: &StepRun, step: &Step) -> Option<String> {
+    fn current_rack(&self, run: &StepRun, step: &Step) -> Option<String> {
         if !step.tight {
             return None;
         }
@@ -289,7 +295,7 @@
         let Some(job) = self.jobs.get_mut(&task.job()) else {
             return;
         };
-        if !std::mem::replace(&mut job.begun, true) {
+        if !std::mem::replace(&mut job.ever_planned, true) {
             let waited = now.since(job.arrived).as_millis() as u64;
             log::info!(
                 job:% = task.job(), queue:% = job.sub.queue, waited_ms = waited,
@@ -340,10 +346,10 @@
 /// Tasks of a job that have no run, and their work in thousandths of a core times milliseconds.
 ///
 /// What no worker can ever hold waits for nothing, and keeps nobody waiting.
-fn free_work(job: &Job, largest: Room) -> (u64, u64) {
+fn free_work(job: &Job, largest_worker: Room) -> (u64, u64) {
     let steps = job.turns.iter();
     let steps = steps.flat_map(|turn| turn.steps.iter().zip(job.sub.steps.iter()));
-    let steps = steps.filter(|(_, step)| step.reserved().fits(largest));
+    let steps = steps.filter(|(_, step)| step.reserved().fits(largest_worker));
     steps.fold((0, 0), |(tasks, work), (run, step)| {
         let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
         let each = step.room.cpu * step.estimate.get();
@@ -362,7 +368,7 @@
 }
 
 /// Runs of a step on each worker.
-pub(crate) fn beside(run: &StepRun) -> Map<WorkerId, u32> {
+pub(crate) fn attempts_by_worker(run: &StepRun) -> Map<WorkerId, u32> {
     let mut found: Map<WorkerId, u32> = Map::default();
     for attempt in run.tasks.iter().flat_map(|t| &t.attempts) {
         *found.entry(attempt.worker.clone()).or_default() += 1;
--- a/crates/cell/src/shares.rs
+++ b/crates/cell/src/shares.rs
@@ -33,25 +33,25 @@
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     /// When each job within the share was handed in, oldest first.
-    taken: Map<TeamName, VecDeque<Time>>,
+    admitted: Map<TeamName, VecDeque<Time>>,
 }
 
 impl Shares {
     /// Counts a job that was handed in at `at`; true if it is within its team's share.
-    pub(crate) fn take(
+    pub(crate) fn admit(
         &mut self,
         rule: &ShareRule,
         team: &TeamName,
         weight: TeamWeight,
         at: Time,
     ) -> bool {
-        let taken = self.taken.entry(team.clone()).or_default();
-        while taken.front().is_some_and(|t| at.since(*t) > rule.window) {
-            taken.pop_front();
+        let admitted = self.admitted.entry(team.clone()).or_default();
+        while admitted.front().is_some_and(|t| at.since(*t) > rule.window) {
+            admitted.pop_front();
         }
-        let within = taken.len() < rule.allowed(weight);
+        let within = admitted.len() < rule.allowed(weight);
         if within {
-            taken.push_back(at);
+            admitted.push_back(at);
         }
         within
     }
--- a/crates/cell/src/starts.rs
+++ b/crates/cell/src/starts.rs
@@ -47,7 +47,7 @@
             return;
         };
         let ticket = self.ticket(task.step, &worker);
-        let Some(job) = self.jobs.observe(&task.job()) else {
+        let Some(job) = self.jobs.get_mut_untracked(&task.job()) else {
             return;
         };
         let spec = job.sub.spec.clone();
--- a/crates/cell/src/wait_queue.rs
+++ b/crates/cell/src/wait_queue.rs
@@ -14,7 +14,7 @@
     pub(crate) service: ServiceName,
     pub(crate) rank: Rank,
     /// Until then its rank stays the same, if nothing happens to it.
-    pub(crate) until: Time,
+    pub(crate) valid_until: Time,
     /// Work of its tasks that wait, in thousandths of a core times milliseconds.
     pub(crate) work: u64,
     /// Number of those tasks.
@@ -43,7 +43,7 @@
     queues: Map<ServiceName, BTreeSet<(Rank, JobId)>>,
     queued: Map<JobId, QueuedJob>,
     /// When each has to be ranked again.
-    due: BTreeSet<(Time, JobId)>,
+    expiries: BTreeSet<(Time, JobId)>,
     /// Work of all jobs that can be done while they are of use, by service.
     useful: Map<ServiceName, u64>,
     /// Tasks of all jobs that can meet their objective.
@@ -52,28 +52,28 @@
 
 impl WaitQueue {
     /// Puts a job into its queue, or takes it out.
-    pub(crate) fn put(&mut self, id: JobId, now: Option<QueuedJob>) {
-        let before = self.queued.get(&id);
-        if before == now.as_ref() {
+    pub(crate) fn update(&mut self, id: JobId, current: Option<QueuedJob>) {
+        let previous = self.queued.get(&id);
+        if previous == current.as_ref() {
             return;
         }
-        if let Some(before) = self.queued.remove(&id) {
-            self.due.remove(&(before.until, id));
-            if let Some(useful) = self.useful.get_mut(&before.service) {
-                *useful -= before.useful_work();
+        if let Some(previous) = self.queued.remove(&id) {
+            self.expiries.remove(&(previous.valid_until, id));
+            if let Some(useful) = self.useful.get_mut(&previous.service) {
+                *useful -= previous.useful_work();
             }
-            self.timely -= before.timely_tasks();
-            if let Some(line) = self.queues.get_mut(&before.service) {
-                line.remove(&(before.rank, id));
+            self.timely -= previous.timely_tasks();
+            if let Some(queue) = self.queues.get_mut(&previous.service) {
+                queue.remove(&(previous.rank, id));
             }
         }
-        if let Some(now) = now {
-            self.due.insert((now.until, id));
-            *self.useful.entry(now.service.clone()).or_default() += now.useful_work();
-            self.timely += now.timely_tasks();
-            let line = self.queues.entry(now.service.clone()).or_default();
-            line.insert((now.rank, id));
-            self.queued.insert(id, now);
+        if let Some(current) = current {
+            self.expiries.insert((current.valid_until, id));
+            *self.useful.entry(current.service.clone()).or_default() += current.useful_work();
+            self.timely += current.timely_tasks();
+            let queue = self.queues.entry(current.service.clone()).or_default();
+            queue.insert((current.rank, id));
+            self.queued.insert(id, current);
         }
     }
 
@@ -99,15 +99,15 @@
     }
 
     /// Jobs that have to be ranked again by `now`.
-    pub(crate) fn due(&self, now: Time) -> Vec<JobId> {
-        let due = self.due.iter().take_while(|(at, _)| *at <= now);
-        due.map(|(_, id)| *id).collect()
+    pub(crate) fn stale(&self, now: Time) -> Vec<JobId> {
+        let expired = self.expiries.iter().take_while(|(at, _)| *at <= now);
+        expired.map(|(_, id)| *id).collect()
     }
 
     /// Services with a job that waits.
     pub(crate) fn services(&self) -> Vec<ServiceName> {
-        let busy = self.queues.iter().filter(|(_, line)| !line.is_empty());
-        busy.map(|(service, _)| service.clone()).collect()
+        let nonempty = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
+        nonempty.map(|(service, _)| service.clone()).collect()
     }
 
     /// The job after `last` in the queue of a service; the first one after none.
@@ -117,7 +117,7 @@
         last: Option<(Rank, JobId)>,
     ) -> Option<(Rank, JobId)> {
         let from = last.map_or(Bound::Unbounded, Bound::Excluded);
-        let line = self.queues.get(service)?;
-        line.range((from, Bound::Unbounded)).next().copied()
+        let queue = self.queues.get(service)?;
+        queue.range((from, Bound::Unbounded)).next().copied()
     }
 }
--- a/crates/node/src/ask.rs
+++ b/crates/node/src/ask.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cactuswheel_cell::{Standing, Waits};
+use cactuswheel_cell::{Standing, StartDelay};
 use cactuswheel_work::{JobId, QueueName, ServiceName};
 use tokio::time::{sleep, timeout};
 
@@ -71,7 +71,7 @@
     shared: &Arc<Shared>,
     id: JobId,
     service: ServiceName,
-) -> Option<(Standing, Waits)> {
+) -> Option<(Standing, StartDelay)> {
     if let Some(own) = shared.own.load_full() {
         return own.standing(id, service).await;
     }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use cactuswheel_cell::{Mark, Standing, Waits};
+use cactuswheel_cell::{BatchId, Standing, StartDelay};
 use cactuswheel_model::Time;
 use cactuswheel_relay::{Offer, Reply};
 use cactuswheel_work::{
@@ -41,7 +41,7 @@
     /// A relay takes no orders any more, and why.
     RelayLost(NodeName, &'static str),
     /// A batch is in the journal.
-    Appended(Mark),
+    Appended(BatchId),
     /// A newer owner writes the journal.
     Deposed,
     /// The platform's list of instances, and when the request for it was sent.
@@ -72,7 +72,7 @@
     /// Somebody asks for a job.
     Job(JobId, oneshot::Sender<JobAnswer>),
     /// A front asks for a job before it refuses it.
-    Standing(JobId, ServiceName, oneshot::Sender<(Standing, Waits)>),
+    Standing(JobId, ServiceName, oneshot::Sender<(Standing, StartDelay)>),
     /// An operator asks for the cell.
     View(oneshot::Sender<Value>),
     /// An operator asks for a job.
--- a/crates/node/src/hand_ins.rs
+++ b/crates/node/src/hand_ins.rs
@@ -50,7 +50,7 @@
                 return answer(handed.reply, HandInAnswer::Refused);
             }
         };
-        if let Some(waits) = cell.refuses(&sub) {
+        if let Some(waits) = cell.overload_delay(&sub) {
             return answer(handed.reply, HandInAnswer::Overloaded(waits));
         }
         self.waiting.push((sub, handed));
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -74,7 +74,7 @@
         self.shared
             .metrics
             .journaled(self.shared.clock.now().since(start));
-        let _ = self.events.send(Event::Appended(batch.mark)).await;
+        let _ = self.events.send(Event::Appended(batch.number)).await;
         self.forget(&forgotten).await;
     }
 
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use cactuswheel_cell::{Slack, Waits};
+use cactuswheel_cell::{Slack, StartDelay};
 use cactuswheel_model::Time;
 
 /// How long jobs wait at the owner, as it has told last.
@@ -13,11 +13,11 @@
 /// owner's link, and what the link should carry waits behind them. A front asks with the job's
 /// name only until what the owner has told would be over.
 #[derive(Debug, Default)]
-pub struct Overload(ArcSwapOption<(Time, Waits)>);
+pub struct Overload(ArcSwapOption<(Time, StartDelay)>);
 
 impl Overload {
     /// The owner has refused a job for these waits.
-    pub fn learn(&self, now: Time, waits: Waits) {
+    pub fn learn(&self, now: Time, waits: StartDelay) {
         self.0.store(Some(Arc::new((now, waits))));
     }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -269,7 +269,7 @@
         match ask {
             Ask::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
             Ask::Standing(id, service, reply) => {
-                let _ = reply.send((self.cell.standing(id), self.cell.waits(&service)));
+                let _ = reply.send((self.cell.standing(id), self.cell.start_delay(&service)));
             }
             Ask::View(reply) => drop(reply.send(cell_view(&self.cell))),
             Ask::Story(id, reply) => drop(reply.send(job_view(&self.cell, id))),
--- a/crates/node/src/owner_handle.rs
+++ b/crates/node/src/owner_handle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cactuswheel_cell::{Standing, Waits};
+use cactuswheel_cell::{Standing, StartDelay};
 use cactuswheel_relay::{Offer, Reply};
 use cactuswheel_work::{JobId, QueueName, ServiceName};
 use serde_json::Value;
@@ -44,7 +44,7 @@
         &self,
         id: JobId,
         service: ServiceName,
-    ) -> Option<(Standing, Waits)> {
+    ) -> Option<(Standing, StartDelay)> {
         let (reply, answer) = oneshot::channel();
         self.ask(Ask::Standing(id, service, reply)).await;
         answer.await.ok()
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use cactuswheel_cell::{Standing, Waits};
+use cactuswheel_cell::{Standing, StartDelay};
 use cactuswheel_relay::{Offer, Reply, SpecDigest};
 use cactuswheel_work::{JobId, JobState, NodeName, QueueName, ServiceName, TeamName};
 use futures::StreamExt;
@@ -78,7 +78,7 @@
     /// It left no trace and never will.
     Refused,
     /// The same: it would begin too late.
-    Overloaded(Waits),
+    Overloaded(StartDelay),
     /// It may be accepted, now or later.
     Unknown,
 }
@@ -90,7 +90,7 @@
     async fn queue(name: QueueName) -> QueueAnswer;
     /// What the owner knows of a job, without a look at what was accepted elsewhere, and how long
     /// a new one of its service waits; `None` from a node that is no owner.
-    async fn standing(id: JobId, service: ServiceName) -> Option<(Standing, Waits)>;
+    async fn standing(id: JobId, service: ServiceName) -> Option<(Standing, StartDelay)>;
     /// To the owner: accept this job within `limit` milliseconds.
     /// The front at `origin` keeps what the job runs.
     async fn hand_in(record: Bytes, origin: SocketAddr, limit: u64) -> HandInAnswer;
@@ -127,7 +127,7 @@
         _: Context,
         id: JobId,
         service: ServiceName,
-    ) -> Option<(Standing, Waits)> {
+    ) -> Option<(Standing, StartDelay)> {
         self.0.own.load_full()?.standing(id, service).await
     }
 
@@ -229,7 +229,7 @@
         id: JobId,
         service: ServiceName,
         limit: Duration,
-    ) -> Option<(Standing, Waits)> {
+    ) -> Option<(Standing, StartDelay)> {
         let answer = self.client.standing(within(limit), id, service);
         answer.await.ok()?
     }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -4,7 +4,7 @@
 
 use cactuswheel_adapter::{AppendError, Item, Partition, Producer};
 use cactuswheel_capacity::{History, OrderRecord};
-use cactuswheel_cell::{BadRecord, Bounds, Cell, JobRecord, decode};
+use cactuswheel_cell::{Bounds, Cell, DecodeError, JobRecord, decode};
 use cactuswheel_model::{Millis, Time};
 use cactuswheel_work::{InstanceName, JobId, Submission};
 use futures::{StreamExt, stream};
@@ -66,7 +66,7 @@
     },
     /// A record cannot be read; going on without it would run work twice.
     #[error("journal of job {0}: {1}")]
-    Record(JobId, BadRecord),
+    Record(JobId, DecodeError),
 }
 
 /// The cell as the store knows it, and the offsets from which to follow the intake.
