--- a/crates/cell/src/accept.rs
+++ b/crates/cell/src/accept.rs
@@ -1,4 +1,4 @@
-//! Jobs that come in, from callers and from an earlier owner.
+//! Accepts jobs from callers, and restores those of an earlier owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::schedule::held;
 
 impl Cell {
-    /// Takes over a job that the journal knows; its submission has to be there already.
+    /// Restores a job from its journal record; its submission has to be restored before.
     ///
-    /// Everything that the record says to run may run or not; looks under the new owner's
-    /// fencing token tell.
+    /// Each run in the record may or may not exist. Polls under the new owner's fencing token
+    /// determine which of them do.
     pub fn restore(&mut self, now: Time, id: JobId, record: JobRecord) {
         self.now = now;
         let record = match record {
@@ -25,7 +25,7 @@
             JobRecord::Open(record) => record,
         };
         let Some(job) = self.jobs.get_mut(&id) else {
-            log::warn!(job:% = id; "journal knows a job that was never submitted");
+            log::warn!(job:% = id; "journal record of a job without a submission; ignored");
             return;
         };
         record.apply(job, now);
@@ -52,7 +52,8 @@
         self.stirred = true;
     }
 
-    /// Its submission may be there or not: dropping it is left to chance.
+    /// Restores a finished job. Its submission may still be stored, since dropping submissions is
+    /// best effort; in that case it is dropped again.
     fn restore_finished(&mut self, id: JobId, job: Finished) {
         if self.jobs.remove(&id).is_some() {
             self.unneeded.push(id);
@@ -63,7 +64,7 @@
         self.insert_finished(id, FinishedJob { job, ended });
     }
 
-    /// A job was accepted; `waited` is how long ago. A repeat has no effect.
+    /// Adds a job that was accepted `waited` ago. Repeated calls for one job have no effect.
     pub fn submit(&mut self, now: Time, sub: Submission, waited: Duration) {
         self.now = now;
         let id = sub.job;
@@ -93,6 +94,7 @@
         self.stirred = true;
     }
 
+    /// Counts the job towards its team's share; true if it exceeds the share.
     fn is_over_share(&mut self, job: &Job) -> bool {
         let Some(team) = job.sub.team.as_ref().filter(|_| self.policy.shares) else {
             return false;
@@ -104,7 +106,8 @@
         !self.shares.admit(rule, team, weight, job.arrived)
     }
 
-    /// A job's caller cancelled it.
+    /// Cancels a job at its caller's request. If the job is not known yet, it is cancelled once it
+    /// is submitted.
     pub fn cancel(&mut self, now: Time, id: JobId) {
         self.now = now;
         if self.finished.contains_key(&id) {
--- a/crates/cell/src/admission.rs
+++ b/crates/cell/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which jobs a cell takes: those that can begin while they are of use.
+//! Admission control: a cell accepts the jobs that can start while they are still of use.
 
 use std::time::Duration;
 
@@ -9,28 +9,29 @@
 use crate::cell::Cell;
 use crate::rank::LATE_FACTOR;
 
-/// Weight of the newest batch in the mean time of one.
+/// Weight of the newest batch in the moving averages over batches.
 const NEWEST_WEIGHT: f64 = 0.2;
 
-/// Time between two counts of what all workers have.
+/// Interval between two updates of the workers' total capacity.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Guess of what a start takes of a batch and its orders before one was seen, in bytes.
+/// Initial estimate of the bytes that one start takes up in a batch and in its order.
 const INITIAL_START_BYTES: f64 = 400.0;
 
-/// What a new job waits for before it begins.
+/// Measurements from which the start delay of a new job is estimated.
 #[derive(Debug)]
 pub(crate) struct Admission {
-    /// Mean time for which a batch is under way.
+    /// Moving average of the time that a batch is in flight.
     batch_time: Duration,
-    /// Mean of what a start takes of a batch and its orders, in bytes.
+    /// Moving average of the bytes that one start takes up in a batch and in its order.
     start_bytes: f64,
-    /// Processor that workers have, in thousandths of a core.
+    /// Processor capacity of all workers, in thousandths of a core.
     total_cpu: u64,
-    /// The same by service.
+    /// Processor capacity of the workers of each service, in thousandths of a core.
     pool_cpu: Map<ServiceName, u64>,
-    /// Most that any worker has of each.
+    /// Largest capacity of any worker, for each resource separately.
     pub(crate) largest_worker: Room,
+    /// When the capacities were last updated.
     counted_at: Time,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl Admission {
-    /// A batch was under way for `took`.
+    /// Records that a batch was in flight for `took`.
     pub(crate) fn record_append(&mut self, took: Duration) {
         self.batch_time = match self.batch_time.is_zero() {
             true => took,
@@ -56,7 +57,7 @@
         };
     }
 
-    /// A batch with so many starts takes so many bytes, orders included.
+    /// Records that a batch with `starts` starts takes `bytes` bytes, orders included.
     pub(crate) fn record_write(&mut self, starts: usize, bytes: usize) {
         if starts > 0 {
             let start = bytes as f64 / starts as f64;
@@ -65,17 +66,17 @@
     }
 }
 
-/// Times from a job's acceptance until it has to begin.
+/// Longest acceptable delays between a job's acceptance and its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Slack {
-    /// To be done within its objective.
+    /// Longest delay with which the job can still be done within its objective.
     pub timely: Duration,
-    /// To be of any use.
+    /// Longest delay with which the job can be done while it is still of use.
     pub useful: Duration,
 }
 
 impl Slack {
-    /// Of a job that is accepted; `None` for work that lasts or that has a time of its own.
+    /// Slack of a job at its acceptance; `None` for long-running and for scheduled jobs.
     pub fn of(sub: &Submission, queue: Option<&Queue>) -> Option<Self> {
         if sub.lasting() || sub.times > 0 {
             return None;
@@ -91,21 +92,24 @@
     }
 }
 
-/// How long a job that comes now waits before it begins.
+/// Estimated delay before a job that arrives now starts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartDelay {
-    /// For the journal and the link, as far as work goes that can meet its objective.
+    /// Wait for the journal and the owner's network link, behind the tasks of jobs that can meet
+    /// their objective.
     pub link: Duration,
-    /// For workers at the least: work that is of use goes first, that of the job's service on the
-    /// workers that it has, or all of it on all of them, whichever is less.
+    /// Lower bound of the wait for room on workers, behind the work that is still of use: the time
+    /// for the work of the job's service on that service's workers, or for all work on all workers,
+    /// whichever is less.
     pub room: Duration,
 }
 
 impl StartDelay {
-    /// By how much a job with this slack would begin too late; `None` if it begins in time.
+    /// Time by which a job with this slack would start too late; `None` if it starts in time.
     ///
-    /// What the link carries is known well, so it decides whether a job can meet its objective.
-    /// What workers have room for is a bound only, and decides whether it can be of any use.
+    /// The throughput of the link is known well, so the wait for the link decides whether a job can
+    /// meet its objective. The wait for room is only a lower bound, so it decides whether the job
+    /// can be of any use.
     pub fn excess(&self, slack: Slack) -> Option<Duration> {
         let link = self.link.saturating_sub(slack.timely);
         let room = self.room.saturating_sub(slack.useful);
@@ -113,7 +117,7 @@
         (!delay.is_zero()).then_some(delay)
     }
 
-    /// The same after a while, if nothing more has come.
+    /// The estimate after `time` has passed without further jobs.
     pub fn after(&self, time: Duration) -> Self {
         Self {
             link: self.link.saturating_sub(time),
@@ -123,7 +127,7 @@
 }
 
 impl Cell {
-    /// How long a job of a service that comes now waits before it begins.
+    /// Estimates the delay before a job of a service that arrives now starts.
     pub fn start_delay(&self, service: &ServiceName) -> StartDelay {
         let ahead = self.wait_queue.timely_tasks() as usize + self.planned.len();
         let batches = ahead as f64 * self.admission.start_bytes / self.bounds.batch.max(1) as f64;
@@ -141,10 +145,11 @@
         }
     }
 
-    /// Whether a job is refused, since it would begin too late; tells what it would wait for.
+    /// Returns the estimated start delay if the job has to be refused because it would start too
+    /// late; `None` if it can be accepted.
     ///
-    /// Failure: far more is accepted than can begin, all of it is late, and the last of it stands
-    /// still for a minute.
+    /// Without this check the cell accepts far more jobs than it can start. All of them are late
+    /// then, and the last ones do not run for a minute.
     pub fn overload_delay(&self, sub: &Submission) -> Option<StartDelay> {
         if self.jobs.contains(&sub.job) || self.finished.contains_key(&sub.job) {
             return None;
@@ -154,7 +159,7 @@
         delay.excess(slack).map(|_| delay)
     }
 
-    /// Counts what all workers have, if it is time.
+    /// Updates the workers' total capacity if [`COUNT_INTERVAL`] has passed.
     pub(crate) fn count_room(&mut self) {
         if self.now.since(self.admission.counted_at) < COUNT_INTERVAL {
             return;
@@ -172,8 +177,8 @@
     }
 }
 
-/// Time for so much work, in thousandths of a core times milliseconds, on so many thousandths of a
-/// core; `None` if there are none.
+/// Time that `work` (in thousandths of a core times milliseconds) takes on `cpu` (in thousandths of
+/// a core); `None` if `cpu` is 0.
 fn drain_time(work: u64, cpu: u64) -> Option<Duration> {
     (cpu > 0).then(|| Duration::from_millis(work / cpu))
 }
--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -1,4 +1,4 @@
-//! Permissions of the policy service.
+//! Permissions (tickets) from the policy service, which restrict the workers of a step.
 
 use cactuswheel_model::{Map, Time};
 use cactuswheel_work::{Advice, ServiceName, StepId, WorkerId};
@@ -7,44 +7,48 @@
 use crate::free_index::Scope;
 use crate::output::Output;
 
-/// Most workers named in one question. Each adds to the time of the answer, and a step seldom
-/// needs more; those with the most room are named first.
+/// Greatest number of workers in one request to the policy service. Each worker adds to the
+/// response time, and a step seldom needs more; workers with the most free room are listed first.
 const MAX_NAMED: usize = 12;
 
-/// Share of a permission's life in which it is used; it has to hold when the order arrives.
+/// Fraction of a ticket's validity in which it is used; it still has to be valid when the start
+/// order arrives at the worker.
 const USABLE_SHARE: f64 = 0.7;
 
-/// Whether the workers for a step are known.
+/// The workers that may run a step.
 pub(crate) enum Permitted {
-    /// Every worker.
+    /// Every worker; the queue has no policy service.
     Any,
-    /// These.
+    /// Only these workers.
     Only(Vec<WorkerId>),
-    /// Not yet: the policy service was asked.
+    /// Not known yet; the policy service has not answered.
     Pending,
 }
 
-/// A permission.
+/// Permission to run a step on one worker.
 #[derive(Debug, Clone)]
 pub(crate) struct Ticket {
     pub(crate) text: String,
-    /// Life of the worker that it is for.
+    /// Start time of the worker for which the ticket was issued; a restarted worker needs a new
+    /// one.
     born: u64,
     expiry: Time,
 }
 
-/// Permissions of one step.
+/// Tickets of one step.
 #[derive(Debug, Default)]
 pub(crate) struct Tickets {
     granted: Map<WorkerId, Ticket>,
-    /// Workers that were named and may not run it. The policy does not change for a step.
+    /// Workers for which the policy service denied a ticket. Its decisions for a step do not
+    /// change.
     denied: Vec<WorkerId>,
-    /// Workers named in the question that is under way.
+    /// Workers in the request that is in flight; empty if there is none.
     pending: Vec<WorkerId>,
 }
 
 impl Cell {
-    /// The workers that may run a step; asks the policy service if too few are known.
+    /// Returns the workers that may run a step. Without a valid ticket, the policy service is
+    /// asked, unless a request is in flight.
     pub(crate) fn permitted(&mut self, step: StepId, service: &ServiceName) -> Permitted {
         let Some(_) = self.advice_of(step) else {
             return Permitted::Any;
@@ -74,7 +78,7 @@
         Permitted::Pending
     }
 
-    /// The policy service answered, or did not (`None`).
+    /// Handles the answer of the policy service; `None` if it did not answer.
     pub fn advised(&mut self, now: Time, step: StepId, granted: Option<Vec<(WorkerId, String)>>) {
         self.now = now;
         self.stirred = true;
@@ -97,17 +101,19 @@
         }
     }
 
+    /// The policy service settings of a step's queue; `None` if the queue has none.
     pub(crate) fn advice_of(&self, step: StepId) -> Option<Advice> {
         let job = self.jobs.get(&step.job)?;
         self.config.queues.get(&job.sub.queue)?.advice
     }
 
+    /// The ticket of a step for a worker, to be sent with the start order.
     pub(crate) fn ticket(&self, step: StepId, worker: &WorkerId) -> Option<String> {
         let ticket = self.tickets.get(&step)?.granted.get(worker)?;
         Some(ticket.text.clone())
     }
 
-    /// A worker refused a permission: it is asked for anew.
+    /// Removes a ticket that a worker refused, so that a new one is requested.
     pub(crate) fn forget_ticket(&mut self, step: StepId, worker: &WorkerId) {
         if let Some(tickets) = self.tickets.get_mut(&step) {
             tickets.granted.remove(worker);
--- a/crates/cell/src/backlog.rs
+++ b/crates/cell/src/backlog.rs
@@ -1,4 +1,4 @@
-//! What waits between a job's acceptance and its first start, told once a second.
+//! Logs once a second how much work waits between acceptance and first start.
 
 use std::time::Duration;
 
@@ -7,36 +7,38 @@
 
 use crate::cell::Cell;
 
-/// Time between two lines.
+/// Interval between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What batches have taken since the last line.
+/// Counters over the batches since the last log line.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
+    /// When the last log line was due.
     logged_at: Time,
     batches: u64,
     starts: u64,
     bytes: usize,
-    /// Time for which a batch was under way.
+    /// Total time for which a batch was in flight.
     writing: Duration,
 }
 
 impl Backlog {
-    /// A batch with so many bytes, orders included, is under way.
+    /// Records a batch that is sent to the journal; `bytes` includes its orders.
     pub(crate) fn record_write(&mut self, starts: usize, bytes: usize) {
         self.batches += 1;
         self.starts += starts as u64;
         self.bytes += bytes;
     }
 
-    /// The journal holds it, after so long.
+    /// Records that the journal holds a batch, which took `took`.
     pub(crate) fn record_append(&mut self, took: Duration) {
         self.writing += took;
     }
 }
 
 impl Cell {
-    /// Tells what waits for a worker, for the journal or for its order, if anything does.
+    /// Logs the number of jobs that wait for a worker, for the journal or for their start order, if
+    /// there are any.
     pub(crate) fn log_backlog(&mut self) {
         if self.now.since(self.backlog.logged_at) < LOG_INTERVAL {
             return;
--- a/crates/cell/src/batch.rs
+++ b/crates/cell/src/batch.rs
@@ -1,40 +1,41 @@
-//! Records for the journal, appended together.
+//! Batches of records that are appended to the journal together.
 
 use cactuswheel_work::{JobId, JobState, TaskId, WorkerId};
 
 use crate::finished::Finished;
 
-/// Numbers a batch within one ownership.
+/// Number of a batch, unique within one ownership of the cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BatchId(pub(crate) u64);
 
-/// Records for the journal. One batch is under way at a time.
+/// Records to append to the journal. Only one batch is in flight at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// Its number.
+    /// The batch's number.
     pub number: BatchId,
-    /// Submissions of jobs that are accepted with this batch; `None` drops one.
+    /// Encoded submissions of jobs that are accepted with this batch; `None` deletes the
+    /// submission.
     pub submissions: Vec<(JobId, Option<Vec<u8>>)>,
-    /// Each job's state, whole and encoded; `None` forgets the job.
+    /// The complete encoded state of each changed job; `None` deletes the job.
     pub records: Vec<(JobId, Option<Vec<u8>>)>,
 }
 
-/// What holds once a batch is in the journal.
+/// Effects that take place once a batch is in the journal.
 #[derive(Debug, Default)]
 pub(crate) struct BatchEffects {
-    /// Jobs that are accepted.
+    /// Jobs whose acceptance may be reported.
     pub(crate) accepted: Vec<JobId>,
-    /// Runs that may be ordered.
+    /// Runs for which start orders may be sent.
     pub(crate) starts: Vec<PlannedStart>,
-    /// States that may be shown.
+    /// Final states that may be reported to callers.
     pub(crate) states: Vec<(JobId, JobState)>,
-    /// Jobs of which nothing is left to do.
+    /// Finished jobs without any remaining runs.
     pub(crate) finished: Vec<(JobId, Finished)>,
-    /// Ends that may be acknowledged: worker, its life, highest number.
+    /// Ends that may be acknowledged: worker, its start time, highest end number.
     pub(crate) ends: Vec<(WorkerId, u64, u64)>,
 }
 
-/// A run that waits for the journal.
+/// A planned run whose start order waits for the journal.
 #[derive(Debug, Clone)]
 pub(crate) struct PlannedStart {
     pub(crate) task: TaskId,
--- a/crates/cell/src/choices.rs
+++ b/crates/cell/src/choices.rs
@@ -1,4 +1,4 @@
-//! The places chosen for a step's tasks in one scheduling cycle.
+//! Workers chosen for the tasks of a step in one scheduling cycle.
 
 use cactuswheel_model::Map;
 use cactuswheel_work::{Cap, Room, Step, StepId, TaskId, WorkerEntry, WorkerId};
@@ -6,7 +6,7 @@
 use crate::place::Affinity;
 use crate::run_state::Task;
 
-/// A task and the worker that takes it; its room is taken already.
+/// A task and the worker chosen for it. The room on the worker is already taken up.
 pub(crate) struct Choice {
     pub(crate) task: TaskId,
     pub(crate) run: u32,
@@ -24,20 +24,23 @@
     }
 }
 
-/// The places chosen for a step's tasks so far, and what follows for the next one.
+/// The workers chosen for a step's tasks so far, and the state that constrains the next choice.
 pub(crate) struct Choices {
     pub(crate) made: Vec<Choice>,
-    /// Tasks of the step on each worker; left empty if that does not matter.
+    /// Number of tasks of the step on each worker; left empty if the step has no spread limit.
     pub(crate) per_worker: Map<WorkerId, u32>,
-    /// Rack on which the step begins, where that matters.
+    /// Rack on which the step runs, if it should stay on a single rack.
     pub(crate) rack: Option<String>,
+    /// Data centre and rack of the job's first task.
     pub(crate) affinity: Option<Affinity>,
-    /// What the team has running with them.
+    /// Room used by the team's runs, including these choices.
     pub(crate) used: Room,
+    /// The team's limit.
     pub(crate) cap: Cap,
 }
 
 impl Choices {
+    /// Adds a choice; `entry` describes its worker.
     pub(crate) fn add(&mut self, choice: Choice, step: &Step, entry: Option<&WorkerEntry>) {
         if let Some(entry) = entry {
             self.affinity.get_or_insert_with(|| Affinity::of(entry));
--- a/crates/cell/src/commit.rs
+++ b/crates/cell/src/commit.rs
@@ -1,4 +1,4 @@
-//! What goes into the journal, and what holds once it is there.
+//! Writes batches to the journal, and applies their effects once they are appended.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::journal::{JobRecord, encode};
 use crate::output::Output;
 
-/// About what an order to start takes beside what the job runs, in bytes.
+/// Approximate size of a start order without the job's spec, in bytes.
 const ORDER_BYTES: usize = 300;
 
-/// Time between two requests to drop submissions: each takes an append for each partition of the
-/// intake, and a takeover reads what was not dropped.
+/// Interval between two requests to drop submissions. Each request costs an append to every
+/// partition of the intake, but a takeover has to read every submission that was not dropped.
 const DROP_INTERVAL: Duration = Duration::from_millis(2_000);
 
 impl Cell {
-    /// The batch is in the journal.
+    /// Applies the effects of a batch that is now in the journal.
     pub fn appended(&mut self, now: Time, batch: BatchId) {
         self.now = now;
         let Some((_, effects)) = self.flying.take_if(|(current, _)| *current == batch) else {
@@ -52,14 +52,16 @@
         }
     }
 
-    /// The journal holds a job's last record: only that is kept of it.
+    /// Drops a job whose final record the journal holds, except for that record, and lists its
+    /// submission for removal.
     ///
-    /// Failure: finished jobs stay in the intake with all that they ran, a new owner reads them
-    /// all before it starts anything, and on a narrow link that takes seconds. The journal's
-    /// record says all that callers may still ask, so the submission can go.
+    /// If submissions of finished jobs stayed in the intake, a new owner would read all of them,
+    /// with their specs, before it starts anything; on a narrow link that takes seconds. The
+    /// journal's record answers all that callers may still ask, so the submission is not needed.
     fn retain_finished(&mut self, id: JobId, job: Finished) {
         let known = self.jobs.remove(&id);
-        // A cancel stands in the intake wherever the submission is.
+        // A cancellation is always stored in the intake, even if the submission is only in the
+        // journal.
         let journal_only = known.as_ref().is_some_and(|j| !j.in_intake);
         let cancelled = job.state == JobState::Cancelled;
         let ended = known.and_then(|j| j.ended).unwrap_or(self.now);
@@ -71,13 +73,14 @@
         }
     }
 
+    /// Adds a finished job to those that callers can ask for.
     pub(crate) fn insert_finished(&mut self, id: JobId, entry: FinishedJob) {
         if self.finished.insert(id, entry).is_none() {
             self.oldest.push_back(id);
         }
     }
 
-    /// Asks to drop the submissions of finished jobs, many at a time.
+    /// Requests the removal of the submissions of finished jobs, in groups.
     pub(crate) fn drop_submissions(&mut self) {
         let due = self.now.since(self.last_drop) >= DROP_INTERVAL;
         if self.unneeded.is_empty() || !due {
@@ -88,7 +91,7 @@
         self.out.push(Output::DropSubmissions(jobs));
     }
 
-    /// Puts what changed into a batch.
+    /// Writes the jobs that changed into a batch, up to the size limit.
     pub(crate) fn write_batch(&mut self) {
         if self.dirty.is_empty() {
             return self.mark_ends_written();
@@ -127,8 +130,9 @@
         }));
     }
 
-    /// What changed, in the order in which it is written: lasting work that is about to start earns by
-    /// the second, and what a full batch has left out before goes ahead of the rest.
+    /// Returns the changed jobs in the order in which they are written. Long-running jobs that are
+    /// about to start go first, since they are useful from the second they run; then come jobs that
+    /// did not fit into an earlier batch.
     fn write_order(&mut self) -> Vec<JobId> {
         let late = std::mem::take(&mut self.late);
         let planned = self.planned.iter().map(|p| p.task.job());
@@ -139,12 +143,12 @@
         dirty
     }
 
-    /// About how many bytes the orders to start take that follow once each job is in the journal.
+    /// Returns the approximate size in bytes of the start orders that follow each job's record.
     ///
-    /// Failure: a queue's work starts all at once, the orders with all that they run are ten times
-    /// what the journal takes, and on a narrow link renewals, looks and answers wait behind
-    /// them for longer than their time limits: sound workers and relays are given up. What is
-    /// under way with a batch is bounded as a whole, orders included.
+    /// The size limit of a batch covers its orders too. Otherwise, when the jobs of a queue start
+    /// all at once, the orders with their specs take ten times the bytes of the journal records; on
+    /// a narrow link, lease renewals, polls and answers wait behind them for longer than their
+    /// timeouts, and healthy workers and relays are given up.
     fn order_sizes(&self) -> Map<JobId, usize> {
         let mut sizes: Map<JobId, usize> = Map::default();
         for start in &self.planned {
@@ -156,7 +160,7 @@
         sizes
     }
 
-    /// Ends of runs that no job knows change nothing; they need no journal.
+    /// Marks ends as journaled when there is nothing to write: these ends changed no job.
     fn mark_ends_written(&mut self) {
         self.workers.settle();
         let fresh: Vec<WorkerId> = self.workers.fresh().map(|w| w.id.clone()).collect();
@@ -167,16 +171,17 @@
         }
     }
 
+    /// Adds the record of a job, and its submission if the journal is to hold it, to a batch.
     fn write_job(&mut self, id: JobId, draft: &mut Draft) {
         if self.finished.contains_key(&id) {
-            // Its record is the last one already.
+            // The journal already holds the job's final record.
             return;
         }
         let job = self.jobs.get(&id);
         let record = job.map(JobRecord::new);
         if let Some(handed) = self.handed.remove(&id) {
             draft.effects.accepted.push(id);
-            // The last record stands by itself.
+            // A final record does not need the submission.
             if matches!(record, Some(JobRecord::Open(_))) {
                 draft.size += handed.len();
                 draft.submissions.push((id, Some(handed)));
@@ -197,12 +202,12 @@
     }
 }
 
-/// A batch in the making.
+/// A batch that is being assembled.
 #[derive(Debug, Default)]
 struct Draft {
     submissions: Vec<(JobId, Option<Vec<u8>>)>,
     records: Vec<(JobId, Option<Vec<u8>>)>,
     effects: BatchEffects,
-    /// Bytes so far.
+    /// Bytes so far, start orders included.
     size: usize,
 }
--- a/crates/cell/src/demand.rs
+++ b/crates/cell/src/demand.rs
@@ -1,4 +1,4 @@
-//! What the known jobs will ask for in the seconds to come.
+//! Forecasts the room that known jobs will request in the next seconds.
 
 use std::time::Duration;
 
@@ -13,24 +13,25 @@
 use crate::run_state::Turn;
 use crate::view::Load;
 
-/// A job that waited for longer than this for its owner says nothing of how many come now.
+/// Greatest age of a job that counts as an arrival. An older job waited for its owner, and says
+/// nothing about the current arrival rate.
 const MAX_ARRIVAL_AGE: Duration = Duration::from_millis(1_000);
 
-/// The same of a job that an earlier owner has taken in. Most of those that came before are done,
-/// and are not known any more.
+/// Greatest age of a job that counts as an arrival if an earlier owner accepted it. Most jobs that
+/// arrived earlier are done and no longer known, so they cannot be counted.
 const MAX_RESTORED_AGE: Duration = Duration::from_millis(1_500);
 
-/// Share of its work, in percent, from which a run's progress tells more than a guess.
+/// Progress in percent from which a run's progress predicts its run time better than the estimate.
 const MIN_PROGRESS_PERCENT: u64 = 10;
 
-/// Thousandths of a core.
+/// Thousandths in one core.
 const MILLI: u64 = 1_000;
 
-/// Beyond the last slot, in milliseconds.
+/// End of the last forecast slot, in milliseconds from now.
 const HORIZON_MS: u64 = SLOTS as u64 * SLOT_MS;
 
 impl Cell {
-    /// Counts a short job that has arrived, and learns from what it asks for.
+    /// Counts the arrival of a short job, and updates its queue's mean demand profile.
     pub(crate) fn count_arrival(&mut self, job: &Job) {
         let max_age = match self.restoring {
             true => MAX_RESTORED_AGE,
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Adds what an open short job asks for now and later; what waits only as far as its team's
-    /// limit lets it start, and apart from the rest if it is of no use any more.
+    /// Adds the current and future demand of a short job that is not finished. Waiting tasks count
+    /// only as far as the team's limit lets them start, and are added to `overdue` if the job can
+    /// no longer meet its objective.
     pub(crate) fn add_forecast(
         &self,
         job: &Job,
@@ -80,12 +82,13 @@
     }
 }
 
-/// Adds up what the steps of an occurrence ask for, one after the other.
+/// Adds the demand of an occurrence's steps to a forecast, in step order.
 struct Demand<'a> {
     forecast: &'a mut Forecast,
     learned: &'a QueueStats,
+    /// Current time in milliseconds.
     now: u64,
-    /// When each step is done, in milliseconds from now.
+    /// Expected end of each step, in milliseconds from now.
     ends: Vec<u64>,
 }
 
@@ -99,7 +102,8 @@
         }
     }
 
-    /// `startable` says how many of a step's free tasks may start.
+    /// Adds the demand of an occurrence. `startable` returns how many of a step's tasks without an
+    /// attempt may start.
     fn add_turn<F>(&mut self, job: &Job, turn: &Turn, mut startable: F)
     where
         F: FnMut(&Step, u64) -> u64,
@@ -134,7 +138,8 @@
         }
     }
 
-    /// Time, in milliseconds, that a run has left of a task that takes `whole`.
+    /// Returns the expected remaining time of a run, in milliseconds. `run_time` is the estimated
+    /// total run time of the task.
     fn remaining(&self, attempt: &Attempt, run_time: u64) -> u64 {
         if attempt.phase == Phase::Stopping {
             return SLOT_MS;
@@ -146,7 +151,7 @@
             false => run_time,
         };
         let elapsed = self.now.saturating_sub(start);
-        // What should be over has a little left still.
+        // An overdue run is expected to need at least another eighth of its run time.
         run_time.saturating_sub(elapsed).max(run_time / 8)
     }
 }
--- a/crates/cell/src/finished.rs
+++ b/crates/cell/src/finished.rs
@@ -1,35 +1,35 @@
-//! What is kept of a job when nothing of it is left to do.
+//! The record that is kept of a finished job.
 
 use cactuswheel_model::Time;
 use cactuswheel_work::{JobState, QueueName, TaskId, TeamName};
 use serde::{Deserialize, Serialize};
 
-/// What callers may still ask of a job in a final state.
+/// State of a finished job that callers can still query.
 ///
-/// Invariant: no run of the job is left anywhere, so neither its steps nor what they run are
-/// needed again.
+/// Invariant: no run of the job is left on any worker, so neither its steps nor its spec are needed
+/// again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finished {
     pub(crate) state: JobState,
     pub(crate) team: Option<TeamName>,
     pub(crate) queue: QueueName,
-    /// Tasks that were started anew after a run had been given up unseen.
+    /// Tasks that were restarted after a run was abandoned because its worker was silent.
     pub(crate) redone: Vec<Redone>,
 }
 
-/// A task that was started anew after a run had been given up unseen: what its worker may list
-/// of that run later must not be acknowledged.
+/// A task that was restarted after a run was abandoned because its worker was silent. If the worker
+/// later lists the end of the abandoned run, that end must not be acknowledged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redone {
     pub(crate) task: TaskId,
-    /// The run that was started then.
+    /// Number of the run that replaced the abandoned one.
     pub(crate) run: u32,
 }
 
-/// A finished job in its cell.
+/// A finished job, kept in memory for queries.
 #[derive(Debug)]
 pub(crate) struct FinishedJob {
     pub(crate) job: Finished,
-    /// When it reached its final state, as far as this owner knows.
+    /// When the job reached its final state; of a restored job, when it was restored.
     pub(crate) ended: Time,
 }
--- a/crates/cell/src/hand_in.rs
+++ b/crates/cell/src/hand_in.rs
@@ -1,5 +1,5 @@
-//! Jobs that come straight to the owner: their submission goes into the journal together with
-//! what is planned of them, so that a job starts after one append.
+//! Jobs that are submitted directly to the owner. Their submissions are written to the journal
+//! together with their first planned runs, so that a job starts after a single append.
 
 use std::time::Duration;
 
@@ -10,33 +10,34 @@
 use crate::cell::Cell;
 use crate::job::Job;
 
-/// What became of a job that was handed in.
+/// Result of handing in a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandIn {
-    /// The store holds it already.
+    /// The store already holds the job.
     Accepted,
-    /// [`crate::Output::Accepted`] names it once the journal holds it.
+    /// The job is being journaled; [`crate::Output::Accepted`] lists it once the journal holds it.
     Journaling,
-    /// A batch is under way: hand it in again after it.
+    /// A batch is in flight; the caller has to retry after its append.
     Busy,
 }
 
-/// What an owner knows of a job that a front asks for before it refuses it.
+/// What the owner knows about a job; a front queries it before it refuses the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// The store holds it: it was accepted.
+    /// The store holds the job: it was accepted.
     Stored,
-    /// It may be on its way into the store.
+    /// The job is known, and its submission may be on the way into the store.
     Pending,
-    /// It is not known.
+    /// The owner does not know the job.
     Unknown,
 }
 
 impl Cell {
-    /// What is known of a job.
+    /// Returns what the owner knows about a job.
     ///
-    /// Failure: an owner that is cut off from the store knows a job that it could not write, a front
-    /// takes that for an acceptance, and the job is gone with the owner.
+    /// A job in memory counts as stored only if the intake or the journal holds its submission.
+    /// Otherwise an owner that is cut off from the store would report a job that it could not
+    /// write, a front would take that for an acceptance, and the job would be lost with the owner.
     pub fn standing(&self, id: JobId) -> Standing {
         if self.finished.contains_key(&id) {
             return Standing::Stored;
@@ -48,9 +49,10 @@
         }
     }
 
-    /// Takes a job from a front; `record` is its submission as it was encoded.
+    /// Takes a job from a front; `record` is its encoded submission.
     ///
-    /// Only between two batches: a job that is refused while one is under way has left no trace.
+    /// A job is taken only while no batch is in flight, so that a job that is refused during an
+    /// append leaves no state behind.
     pub fn hand_in(&mut self, now: Time, sub: Submission, record: Vec<u8>) -> HandIn {
         self.now = now;
         let id = sub.job;
@@ -75,7 +77,7 @@
         HandIn::Journaling
     }
 
-    /// Takes over a submission that the journal holds.
+    /// Restores a submission that the journal holds; `age` is the time since its acceptance.
     pub fn restore_submission(&mut self, now: Time, sub: Submission, age: Duration) {
         let id = sub.job;
         let known = self.jobs.contains(&id);
@@ -88,7 +90,7 @@
 }
 
 impl Job {
-    /// Whether the store holds its submission.
+    /// Whether the store (intake or journal) holds the job's submission.
     pub(crate) fn is_stored(&self) -> bool {
         self.in_intake || self.in_journal
     }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -1,4 +1,4 @@
-//! A job in its cell.
+//! State of a job.
 
 use std::sync::Arc;
 
@@ -8,35 +8,35 @@
 use crate::finished::{Finished, Redone};
 use crate::run_state::{StepRun, Task, Turn};
 
-/// A job in its cell.
+/// State of a job that has not been reduced to a finished record yet.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) sub: Arc<Submission>,
-    /// Where it stands, queued and running not told apart.
+    /// Final state, or `Queued` while the job is not final, also while it runs.
     pub(crate) state: JobState,
-    /// The final state that the journal holds, if any: what may be shown.
+    /// Final state that the journal holds, if any; only this one may be reported to callers.
     pub(crate) journaled: Option<JobState>,
-    /// Occurrences that were due, in order.
+    /// Occurrences that have become due, in order.
     pub(crate) turns: Vec<Turn>,
-    /// When its caller handed it in.
+    /// When its caller submitted it.
     pub(crate) arrived: Time,
     /// When it reached its final state.
     pub(crate) ended: Option<Time>,
-    /// Longest chain of work from each step on, in milliseconds by the caller's estimates.
+    /// Longest chain of work from each step onwards, in milliseconds by the caller's estimates.
     pub(crate) tails: Vec<u64>,
-    /// Whether any task was ever seen to start.
+    /// Whether any task is known to have started.
     pub(crate) started: bool,
-    /// Whether it is beyond its team's share: with the fleet full it waits for the others.
+    /// Whether it exceeds its team's share; while the fleet is full it waits for jobs that do not.
     pub(crate) over_share: bool,
-    /// Whether this owner has planned a run of it.
+    /// Whether this owner has ever planned a run of it.
     pub(crate) ever_planned: bool,
-    /// Tasks that were started anew after a run had been given up unseen.
+    /// Tasks that were restarted after a run was abandoned because its worker was silent.
     pub(crate) redone: Vec<Redone>,
-    /// The intake holds its submission.
+    /// Whether the intake holds its submission.
     pub(crate) in_intake: bool,
-    /// The journal holds its submission.
+    /// Whether the journal holds its submission.
     pub(crate) in_journal: bool,
-    /// It changed since it was last queued.
+    /// Whether it changed since its entry in the wait queue was last updated.
     pub(crate) touched: bool,
 }
 
@@ -61,7 +61,8 @@
         }
     }
 
-    /// What is kept of it once it is in a final state and no run of it is left.
+    /// The record that is kept of the job once it is in a final state and none of its runs is left;
+    /// `None` before that.
     pub(crate) fn finished(&self) -> Option<Finished> {
         let over = self.state.is_final() && self.attempts().next().is_none();
         over.then(|| Finished {
@@ -72,29 +73,30 @@
         })
     }
 
-    /// When its next occurrence is due, in milliseconds since 1970; `None` if there is none, or
-    /// if it runs once, at once.
+    /// When the next occurrence is due, in milliseconds since 1970; `None` if no further one is due
+    /// or the job runs once, immediately.
     pub(crate) fn next_turn(&self) -> Option<u64> {
         let next = self.turns.len() as u32;
         let due = self.sub.begin + u64::from(next) * self.sub.interval.get();
         (next < self.sub.times).then_some(due)
     }
 
+    /// Whether the job is not in a final state.
     pub(crate) fn is_open(&self) -> bool {
         !self.state.is_final()
     }
 
-    /// Longest chain of work of an occurrence.
+    /// Longest chain of work of an occurrence, in milliseconds by the caller's estimates.
     pub(crate) fn chain(&self) -> u64 {
         self.tails.iter().copied().max().unwrap_or_default()
     }
 
-    /// Whether every occurrence was due and is done.
+    /// Whether all occurrences have become due and are done.
     pub(crate) fn is_done(&self) -> bool {
         self.turns.len() == self.sub.turns() as usize && self.turns.iter().all(Turn::is_done)
     }
 
-    /// The state that callers see.
+    /// The state that is reported to callers.
     pub(crate) fn reported_state(&self) -> JobState {
         if let Some(journaled) = self.journaled {
             return journaled;
@@ -129,7 +131,7 @@
         step.tasks.get_mut(id.index as usize)
     }
 
-    /// Tasks with a run somewhere, with the run's worker.
+    /// All attempts of the job, each with its task.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = (TaskId, &crate::attempt::Attempt)> {
         let job = self.sub.job;
         self.turns.iter().flat_map(move |turn| {
--- a/crates/cell/src/jobs.rs
+++ b/crates/cell/src/jobs.rs
@@ -1,11 +1,12 @@
-//! The jobs of a cell, and which of them changed.
+//! The jobs of a cell, with change tracking.
 
 use cactuswheel_model::Map;
 use cactuswheel_work::JobId;
 
 use crate::job::Job;
 
-/// The jobs of a cell, and which of them changed since they were last queued.
+/// The jobs of a cell. Tracks which of them changed since their entries in the wait queue were last
+/// updated.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
     all: Map<JobId, Job>,
@@ -17,7 +18,7 @@
         self.all.get(id)
     }
 
-    /// A job whose state changes.
+    /// Returns a job for modification and marks it as changed.
     pub(crate) fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         let job = self.all.get_mut(id)?;
         if !std::mem::replace(&mut job.touched, true) {
@@ -26,7 +27,8 @@
         Some(job)
     }
 
-    /// A job of which something changes that has no part in what waits, nor in its rank.
+    /// Returns a job for a modification that affects neither its waiting tasks nor its rank; the
+    /// job is not marked as changed.
     pub(crate) fn get_mut_untracked(&mut self, id: &JobId) -> Option<&mut Job> {
         self.all.get_mut(id)
     }
@@ -45,7 +47,7 @@
         self.all.remove(id)
     }
 
-    /// Those that changed since this was last asked.
+    /// Returns the jobs that changed since the last call.
     pub(crate) fn take_touched(&mut self) -> Vec<JobId> {
         let touched = std::mem::take(&mut self.touched);
         for id in &touched {
--- a/crates/cell/src/learned.rs
+++ b/crates/cell/src/learned.rs
@@ -1,4 +1,4 @@
-//! What was learnt of a queue's jobs.
+//! Statistics on the jobs of a queue.
 
 use std::time::Duration;
 
@@ -6,33 +6,35 @@
 
 use crate::forecast::Forecast;
 
-/// Jobs over which the mean course of a job is taken: sizes within a queue differ by a factor of
-/// ten, so that fewer say little, and a queue whose jobs change is known anew within seconds.
+/// Number of jobs over which the mean demand profile is taken. Job sizes within a queue differ by a
+/// factor of ten, so a mean over fewer jobs is unreliable; with this number the mean still
+/// adapts within seconds when the jobs of a queue change.
 const MEAN_JOBS: u64 = 64;
 
-/// Guessed time, in milliseconds, after which older run times count half as much.
+/// Total estimated time, in milliseconds, beyond which all earlier run times are weighted by half.
 const HALVE_AFTER_MS: u64 = 400_000;
 
-/// Guessed time, in milliseconds, that the callers' guesses count before anything is learnt.
+/// Weight of the prior assumption that the callers' estimates are right, in milliseconds of run
+/// time.
 const PRIOR_MS: u64 = 20_000;
 
-/// What has come in on a queue of short jobs.
+/// Arrivals of short jobs on a queue.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Arrivals {
-    /// Number of jobs; only rises.
+    /// Total number of jobs; never decreases.
     pub jobs: u64,
-    /// When those among them arrived that an earlier owner has taken in.
+    /// Arrival times of those jobs that an earlier owner had accepted.
     pub restored: Vec<Time>,
-    /// What a job asks for from its arrival on, on average.
+    /// Mean demand of a job over time, starting at its arrival.
     pub profile: Forecast,
 }
 
-/// Times that were taken and what had been guessed of them, older ones counting less.
+/// Sums of actual and estimated run times; older ones have less weight.
 #[derive(Debug, Clone, Copy, Default)]
 struct EstimateError {
-    /// In milliseconds.
+    /// Actual run time in milliseconds.
     actual: u64,
-    /// In milliseconds.
+    /// Estimated run time in milliseconds.
     estimated: u64,
 }
 
@@ -46,24 +48,24 @@
         }
     }
 
-    /// How many times as long as guessed things take.
+    /// Ratio of the actual to the estimated run time.
     fn factor(self) -> f64 {
         (self.actual + PRIOR_MS) as f64 / (self.estimated + PRIOR_MS) as f64
     }
 }
 
-/// What was learnt of a queue's jobs.
+/// Statistics on the jobs of a queue.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct QueueStats {
     pub(crate) arrivals: Arrivals,
-    /// Run times of tasks.
+    /// Estimate error of single tasks.
     tasks: EstimateError,
-    /// Run times of the longest task of each step.
+    /// Estimate error of the longest task of each step.
     steps: EstimateError,
 }
 
 impl QueueStats {
-    /// A job has arrived that asks for this from now on.
+    /// Records the arrival of a job with this demand profile.
     pub(crate) fn record_arrival(&mut self, profile: &Forecast) {
         let arrivals = &mut self.arrivals;
         arrivals.jobs += 1;
@@ -71,28 +73,29 @@
         arrivals.profile.average(profile, count);
     }
 
-    /// A task is done.
+    /// Records the run time of a task that is done.
     pub(crate) fn task_done(&mut self, estimate: Millis, actual: Duration) {
         self.tasks.add(estimate, actual);
     }
 
-    /// A step is done; `longest` is the run time of its longest task.
+    /// Records a step that is done; `longest` is the run time of its longest task.
     pub(crate) fn step_done(&mut self, estimate: Millis, longest: Duration) {
         self.steps.add(estimate, longest);
     }
 
-    /// Run time, in milliseconds, of a task for which callers guess this.
+    /// Returns the expected run time, in milliseconds, of a task with this estimate.
     ///
-    /// Guesses are off by half as a rule, and by more on a queue whose callers all guess too
-    /// low; what the queue's tasks took together is known within a few jobs.
+    /// Estimates are typically off by half, and by more on a queue whose callers all estimate too
+    /// low. The total run time of the queue's tasks corrects them after a few jobs.
     pub(crate) fn run_time(&self, estimate: Millis) -> u64 {
         (estimate.get() as f64 * self.tasks.factor()) as u64
     }
 
-    /// How many times as long as callers guess the longest task of a step takes.
+    /// Ratio of the run time of a step's longest task to the caller's estimate.
     ///
-    /// Tasks of one step differ, and a step is done with its longest: a job of which the guesses
-    /// say that it is late may be in time, since its objective counts what its work takes.
+    /// The tasks of a step differ in run time, and the step is done when its longest task is. A job
+    /// that is late by its caller's estimates may still be in time, since the objective is computed
+    /// from the actual run time of its work.
     pub(crate) fn slowdown(&self) -> f64 {
         self.steps.factor()
     }
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -1,9 +1,10 @@
-//! Which worker takes a task.
+//! Selects a worker for a task.
 //!
-//! Short work is packed: the fullest worker that has room takes it, so that others stay empty
-//! and their instances can leave the pool. The tasks of one job stay in one failure domain. Lasting
-//! work goes where lasting work is already, as
-//! far as the step's spread allows. What fills is kept away from what serves users.
+//! Short tasks are bin-packed: the fullest worker with enough room takes the task, so that other
+//! workers stay empty and their instances can leave the pool. The tasks of one job stay in one
+//! failure domain. Long-running tasks go to workers that already have long-running tasks, as far as
+//! the step's spread limit allows. Filler (best-effort) tasks are kept away from tasks that serve
+//! users.
 
 use cactuswheel_model::{Map, Set, Time};
 use cactuswheel_work::{ServiceName, Step, WorkerEntry, WorkerId, ZoneName};
@@ -12,12 +13,13 @@
 use crate::worker::Worker;
 use crate::workers::Workers;
 
-/// Where the first task of a job is: its data centre and rack.
+/// Data centre and rack of a job's first task, which its other tasks prefer.
 ///
-/// Failure: a data centre with a quarter of the workers is cut off for seconds. A job of eight
-/// tasks that were placed wherever there was room has a task there nine times in ten, and waits
-/// for it until its lease has run out. With its tasks in one data centre, and in one rack of it
-/// as far as there is room, three jobs in four are not touched.
+/// This limits the jobs that a network partition delays. Suppose that a data centre with a quarter
+/// of the workers is cut off for seconds. If the eight tasks of a job are placed wherever there is
+/// room, nine jobs in ten have a task there, and wait for it until its lease has expired. With all
+/// tasks of a job in one data centre, and in one rack of it as far as there is room, three jobs in
+/// four are not affected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Affinity {
     pub(crate) zone: ZoneName,
@@ -33,42 +35,42 @@
     }
 }
 
-/// Where a task starts.
+/// Result of placing a task.
 pub(crate) enum Placement {
-    /// On this worker.
+    /// The task starts on this worker.
     At(WorkerId),
-    /// Nowhere: no worker that may take it has room.
+    /// No eligible worker has enough room.
     NoFit,
-    /// Nowhere yet, since it may take its worker down. This worker is to be kept free of other
-    /// starts until it has outlived those that are there.
+    /// The task may crash its worker and cannot start yet. This worker is to be reserved: it gets
+    /// no other starts until it has survived the starts of the runs that it has.
     Reserve(WorkerId),
-    /// The same, and enough workers are reserved.
+    /// The task may crash its worker and cannot start yet, and no further worker is to be reserved.
     Wait,
 }
 
-/// What is asked of a place.
+/// Requirements and preferences for the worker of a task.
 #[derive(Debug)]
 pub(crate) struct Constraints<'a> {
     pub(crate) step: &'a Step,
-    /// Tasks of the step on each worker.
+    /// Number of tasks of the step on each worker.
     pub(crate) per_worker: &'a Map<WorkerId, u32>,
-    /// The task may take its worker down.
+    /// Whether the task is suspected of crashing its worker.
     pub(crate) suspect: bool,
-    /// Worker on which the task failed.
+    /// Worker on which the task last failed; it is used only if no other worker fits.
     pub(crate) avoid: Option<&'a WorkerId>,
-    /// Rack on which the rest of the step runs, where that matters.
+    /// Rack on which the rest of the step runs, if the step should stay on a single rack.
     pub(crate) rack: Option<&'a str>,
-    /// Where the job's other tasks are, if any runs.
+    /// Data centre and rack of the job's other tasks, if any of them runs.
     pub(crate) affinity: Option<&'a Affinity>,
-    /// Workers that the queue's policy allows; `None` if it has none.
+    /// Workers that the queue's policy service permits; `None` if the queue has no policy service.
     pub(crate) allowed: Option<&'a [WorkerId]>,
-    /// Workers on instances that are to be maintained before long.
+    /// Workers on instances that are due for maintenance soon.
     pub(crate) maintenance: &'a Set<WorkerId>,
-    /// Whether the fullest worker goes first, or the emptiest.
+    /// Whether the fullest worker is preferred (bin packing) instead of the emptiest.
     pub(crate) pack: bool,
 }
 
-/// The best worker of a service for a task, if any can take it.
+/// Returns the best worker of a service for a task, or `None` if no worker fits.
 pub(crate) fn pick_worker(
     workers: &Workers,
     service: &ServiceName,
@@ -84,8 +86,10 @@
     found.map(|w| w.id.clone())
 }
 
-/// The fullest worker where the task's data or its rack is, else by the job's other tasks, else
-/// anywhere; one on which it failed comes last.
+/// Returns a worker as close as possible to the preferred location of a short task: first in the
+/// rack of the step or of its data, then in the rack and the data centre of the job's other tasks,
+/// then anywhere. The worker on which the task failed comes last. With packing, the fullest worker
+/// of the scope is chosen.
 fn nearest<'a>(
     workers: &'a Workers,
     free_index: &FreeIndex,
@@ -112,6 +116,7 @@
     })
 }
 
+/// Returns the first acceptable worker of a scope, the fullest or the emptiest first.
 fn first_match<'a>(
     workers: &'a Workers,
     free_index: &FreeIndex,
@@ -127,7 +132,7 @@
     }
 }
 
-/// The worker where the least speaks against the task, all of them compared.
+/// Returns the worker with the lowest [`cost`] for the task, comparing all that fit.
 fn cheapest<'a>(
     workers: &'a Workers,
     free_index: &FreeIndex,
@@ -140,6 +145,8 @@
     fitting.min_by_key(|w| cost(w, constraints))
 }
 
+/// Whether a worker can take the task now: it has the room, the label and the permission, is open
+/// for work, and is below the step's spread limit.
 pub(crate) fn fits(w: &Worker, constraints: &Constraints<'_>, now: Time) -> bool {
     let step = constraints.step;
     let labels = w.entry.as_ref().map(|e| e.labels.as_slice());
@@ -161,7 +168,7 @@
         && constraints.allowed.is_none_or(|a| a.contains(&w.id))
 }
 
-/// Whether the task's data, or the rack that its step has begun on, is elsewhere.
+/// Whether the worker is not in the rack on which the task's step runs or its data is stored.
 pub(crate) fn is_far(w: &Worker, constraints: &Constraints<'_>) -> bool {
     let near = constraints.rack.or(constraints.step.near.as_deref());
     let labels = w.entry.as_ref().map(|e| e.labels.as_slice());
@@ -169,7 +176,7 @@
     near.is_some_and(|rack| !here(rack))
 }
 
-/// Lower is better; earlier parts decide.
+/// Cost of a worker for a task, compared lexicographically; lower is better.
 type Cost = (bool, bool, bool, bool, std::cmp::Reverse<usize>, u64);
 
 fn cost(w: &Worker, constraints: &Constraints<'_>) -> Cost {
@@ -177,8 +184,9 @@
     let failed = constraints.avoid == Some(&w.id);
     let far = is_far(w, constraints);
     let disturbs = (step.filler && w.serving > 0) || (step.serves() && w.fillers > 0);
-    // Failure: lasting work that leaves for a wave goes to an instance of the same wave, and has
-    // to leave again; its budget lets one task move at a time, so the wave is late.
+    // A long-running task that is evicted for a maintenance wave should not go to an instance of
+    // the same wave. It would be evicted a second time there, and as the step's disruption budget
+    // lets one task move at a time, the wave would be late.
     let evicted_again = step.lasting && constraints.maintenance.contains(&w.id);
     let lasting_runs = match step.lasting {
         true => w.lasting,
--- a/crates/cell/src/policy.rs
+++ b/crates/cell/src/policy.rs
@@ -1,25 +1,26 @@
-//! Switches of how a cell decides.
+//! Feature switches of a cell's scheduling policy.
 
 use serde::Deserialize;
 
-/// Switches of how a cell decides. Each can be turned off in the settings, so that what it is
-/// worth can be measured without another build.
+/// Feature switches of a cell's scheduling policy. Each can be turned off in the settings, so that
+/// its effect can be measured without another build.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WorkPolicy {
-    /// Short work goes to the fullest worker that has room.
+    /// Bin packing: a short task goes to the fullest worker with enough room, otherwise to the
+    /// emptiest.
     pub pack: bool,
-    /// A job's tasks stay in one data centre and rack, as far as there is room.
+    /// The tasks of a job stay in one data centre and rack, as far as there is room.
     pub home: bool,
-    /// Jobs that have begun go before others that can be in time.
+    /// Jobs that have started go before other jobs of the same class and priority.
     pub begun: bool,
-    /// Jobs beyond their team's share wait while the fleet is full.
+    /// While the fleet is full, jobs beyond their team's share wait for the jobs within theirs.
     pub shares: bool,
-    /// Runs that make no progress start elsewhere.
+    /// Runs that make no progress are stopped and restarted on another worker.
     pub progress: bool,
-    /// Workers that fail what they start get no work for a while.
+    /// Workers whose runs fail get no new work for a while.
     pub health: bool,
-    /// Run times are learnt from tasks that are done.
+    /// The caller's run time estimates are corrected by the run times of finished tasks.
     pub learn: bool,
 }
 
--- a/crates/cell/src/rank.rs
+++ b/crates/cell/src/rank.rs
@@ -1,51 +1,53 @@
-//! Which job goes first.
+//! The order in which jobs are scheduled.
 //!
-//! Jobs within their team's share go before those beyond it.
+//! Jobs within their team's share go before jobs beyond it.
 //!
-//! Answers a pool that is asked for several times what it holds, for some seconds, by jobs with
-//! an objective of their own: a job that can still meet its objective goes before one that
-//! cannot, among the former the one that has to start soonest.
+//! The order is designed for a pool that receives several times the work it has room for, for some
+//! seconds, from jobs that each have an objective for their completion time. A job that can still
+//! meet its objective goes before one that cannot; among those that can, the job with the earliest
+//! latest start time goes first.
 
 use cactuswheel_model::Time;
 use cactuswheel_work::Queue;
 
 use crate::job::Job;
 
-/// Multiple of its objective after which a job is worth nothing to its caller any more.
+/// Multiple of its objective after which a job is of no more use to its caller.
 pub(crate) const LATE_FACTOR: f64 = 3.0;
 
-/// A rank with this end does not change by the time alone.
+/// Expiry of a rank that does not change with the passing of time.
 const NO_EXPIRY: Time = Time::new(u64::MAX);
 
-/// Order of jobs; the least goes first.
+/// Scheduling rank of a job; the lowest rank goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     class: Class,
     priority: u32,
-    /// Work was begun: finishing it earns the most for what is left.
+    /// Whether no task has started yet. Started jobs go first, since finishing them brings the most
+    /// benefit for the remaining work.
     not_started: bool,
-    /// Time by which it has to start, or since when it waits.
+    /// Latest start time that meets the objective, or for other classes the arrival time.
     at: Time,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
-    /// Runs until it is cancelled: it earns as long as it is at work.
+    /// Runs until it is cancelled, and is useful as long as it runs.
     Lasting,
     /// Can meet its objective.
     Timely,
-    /// Can be done while it is of some use.
+    /// Cannot meet its objective, but can be done while it is still of use.
     Late,
-    /// Is beyond its team's share, and can meet its objective.
+    /// Like `Timely`, but beyond its team's share.
     TimelyOverShare,
-    /// Is beyond its team's share, and can be done while it is of some use.
+    /// Like `Late`, but beyond its team's share.
     LateOverShare,
-    /// Is of no use any more, but was accepted.
+    /// Is of no more use to its caller, but was accepted.
     Overdue,
 }
 
 impl Rank {
-    /// The same, whether the job has begun or not.
+    /// Returns the rank without the preference for jobs that have started.
     pub(crate) fn ignoring_started(self) -> Self {
         Self {
             not_started: false,
@@ -58,12 +60,12 @@
         matches!(self.class, Class::Timely | Class::TimelyOverShare)
     }
 
-    /// Whether the job ends by itself, and can be done while it is of some use.
+    /// Whether the job ends by itself, and can be done while it is still of use.
     pub(crate) fn is_useful(&self) -> bool {
         !matches!(self.class, Class::Lasting | Class::Overdue)
     }
 
-    /// Whether the job cannot meet its objective any more, or is of no use at all.
+    /// Whether the job can no longer meet its objective.
     pub(crate) fn is_late(self) -> bool {
         matches!(
             self.class,
@@ -72,8 +74,8 @@
     }
 }
 
-/// The rank of a job at `now`, and until when it holds; its work takes `longer` times as long as
-/// its caller guesses.
+/// Returns the rank of a job at `now`, and the time until which it is valid. `slowdown` is the
+/// factor by which the work takes longer than the caller's estimate.
 pub(crate) fn rank(job: &Job, queue: Option<&Queue>, slowdown: f64, now: Time) -> (Rank, Time) {
     let priority = queue.map_or(u32::MAX, |q| q.priority);
     if job.sub.lasting() {
@@ -123,7 +125,7 @@
     (rank, until)
 }
 
-/// Longest chain of work that is left, by the caller's estimates.
+/// Longest chain of steps that are not done, in milliseconds by the caller's estimates.
 fn remaining_chain(job: &Job) -> u64 {
     let steps = job.turns.iter().flat_map(|t| t.steps.iter().enumerate());
     let open = steps.filter(|(_, s)| !s.is_done());
--- a/crates/cell/src/schedule.rs
+++ b/crates/cell/src/schedule.rs
@@ -1,4 +1,4 @@
-//! A scheduling cycle: waiting tasks meet workers with room.
+//! The scheduling cycle: assigns pending tasks to workers with enough free room.
 
 use std::time::Duration;
 
@@ -19,43 +19,45 @@
 use crate::wait_queue::QueuedJob;
 use crate::worker::Held;
 
-/// Tasks without a place after which a round leaves a service: those behind seldom fit either.
+/// Number of tasks without a worker after which a cycle skips the rest of a service's queue: the
+/// jobs further back seldom fit either.
 const MAX_MISSES: usize = 24;
 
-/// Longest time for which a rank is believed: what is learnt of run times shifts it.
+/// Longest time for which a rank is cached: new statistics on run times change it.
 const RANK_TTL: Duration = Duration::from_millis(500);
 
-/// Tasks of a step that wait for a worker.
+/// A step with tasks that wait for a worker.
 struct PendingStep {
     id: StepId,
-    /// Index of the occurrence among those that were due.
+    /// Index of the occurrence in `Job::turns`.
     turn: usize,
+    /// Indices of the tasks without an attempt.
     free: Vec<usize>,
 }
 
-/// Tasks of one round that found no place.
+/// Tasks of one service for which the current cycle found no worker.
 #[derive(Default)]
 struct Misses {
     count: usize,
-    /// Room that no worker of the service has.
+    /// Amounts of room that no worker of the service has free.
     too_large: Vec<Room>,
 }
 
 impl Misses {
-    /// A task found no place; `room` if no worker has that much.
+    /// Counts a task without a worker; `room` is given if no worker has that much room free.
     fn add(&mut self, room: Option<Room>) {
         self.count += 1;
         self.too_large.extend(room);
     }
 
-    /// Whether a task that asks for this much cannot have a place either.
+    /// Whether a task that requests this much room cannot be placed, going by the earlier misses.
     fn covers(&self, room: Room) -> bool {
         self.too_large.iter().any(|missed| missed.fits(room))
     }
 }
 
 impl Cell {
-    /// Finds places for waiting tasks, best jobs first.
+    /// Assigns pending tasks to workers, jobs with the best rank first.
     pub(crate) fn schedule(&mut self) {
         self.settle();
         for service in self.wait_queue.services() {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Finds places on the workers of one service.
+    /// Assigns the pending tasks of one service to its workers.
     fn schedule_service(&mut self, service: &ServiceName) {
         let mut misses = Misses::default();
         let mut last = None;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// The rank of a job now, and until when it holds.
+    /// The current rank of a job, and the time until which that rank is valid.
     pub(crate) fn rank(&self, job: &Job) -> (Rank, Time) {
         let queue = self.config.queues.get(&job.sub.queue);
         let learned = self.learned.get(&job.sub.queue);
@@ -90,7 +92,7 @@
         }
     }
 
-    /// A job's place in its queue; `None` if no task of it waits for a worker.
+    /// The entry of a job in the wait queue; `None` if none of its tasks waits for a worker.
     pub(crate) fn queue_entry(&self, job: &Job) -> Option<QueuedJob> {
         if !job.is_open() || !has_free_task(job) {
             return None;
@@ -106,13 +108,14 @@
         })
     }
 
-    /// Service whose workers run a job's tasks: as the queue says now, or as it last said.
+    /// Service whose workers run a job's tasks: the current service of its queue, or the one at
+    /// submission if the queue was removed.
     pub(crate) fn service_of(&self, job: &Job) -> ServiceName {
         let queue = self.config.queues.get(&job.sub.queue);
         queue.map_or_else(|| job.sub.service.clone(), |q| q.service.clone())
     }
 
-    /// Places what it can of a job.
+    /// Assigns as many tasks of a job as possible to workers.
     fn place_job(&mut self, id: JobId, service: &ServiceName, misses: &mut Misses) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -152,7 +155,8 @@
         }
     }
 
-    /// The tasks of a step that wait for a worker; `None` if there are none.
+    /// The tasks of a step that wait for a worker; `None` if there are none, or if an earlier step
+    /// has to be done first.
     fn pending_step(
         &self,
         id: JobId,
@@ -174,7 +178,8 @@
         (!free.is_empty()).then_some(PendingStep { id, turn, free })
     }
 
-    /// Places for the step's tasks, until one has none.
+    /// Picks workers for the step's tasks and takes up their room; stops at the first task that no
+    /// worker can run.
     fn pick_workers(
         &mut self,
         pending: &PendingStep,
@@ -188,14 +193,16 @@
         };
         let run = &job.turns[pending.turn].steps[pending.id.step as usize];
         let mut chosen = self.new_choices(job, run, step);
-        // What no worker has room for, none has for the rest either.
+        // Without worker constraints, room that no worker has for one task is missing for the other
+        // tasks of the step too.
         let unconstrained = allowed.is_none() && step.label.is_none() && step.spread == 0;
         for &index in &pending.free {
             if !chosen.cap.admits(chosen.used, step.room) {
-                // The team's limit says nothing about room: another team's tasks may fit.
+                // The team is at its limit. This is not counted as a miss, as the tasks of other
+                // teams may still fit.
                 break;
             }
-            // A gang starts at once on several workers.
+            // A gang is never isolated, since it starts on several workers at once.
             let suspect = run.tasks[index].is_suspect() && !step.gang;
             if !suspect && unconstrained && misses.covers(step.reserved()) {
                 misses.add(None);
@@ -214,7 +221,7 @@
             };
             let worker = match self.place(service, &constraints) {
                 Placement::At(worker) => worker,
-                // These say nothing of room for other tasks.
+                // Neither result says anything about the room for other tasks.
                 Placement::Wait => continue,
                 Placement::Reserve(worker) => {
                     self.workers.reserve(&worker, self.now);
@@ -260,7 +267,7 @@
         worker.map_or(Placement::NoFit, Placement::At)
     }
 
-    /// What a job's team has running, and its limit.
+    /// Room used by the runs of a job's team, and the team's limit.
     fn quota(&self, job: &Job) -> (Room, Cap) {
         let team = job.sub.team.as_ref();
         let used = team.map(|t| self.usage.of(t)).unwrap_or_default();
@@ -268,14 +275,14 @@
         (used, cap.map(|t| t.cap).unwrap_or_default())
     }
 
-    /// Where a job has a run already.
+    /// Data centre and rack of the job's first attempt; `None` if it has none.
     fn affinity(&self, job: &Job) -> Option<Affinity> {
         let (_, attempt) = job.attempts().next()?;
         let entry = self.workers.get(&attempt.worker)?.entry.as_ref()?;
         Some(Affinity::of(entry))
     }
 
-    /// Rack that a step which should stay on one rack has begun on.
+    /// Rack on which a step is running that should stay on a single rack.
     fn current_rack(&self, run: &StepRun, step: &Step) -> Option<String> {
         if !step.tight {
             return None;
@@ -285,7 +292,7 @@
         entry.rack().map(str::to_owned)
     }
 
-    /// Plans a run: it is ordered once the journal holds it.
+    /// Plans a run. Its start order is sent once the journal holds the run.
     fn plan(&mut self, choice: Choice, step: &Step) {
         let now = self.now;
         let Choice { task, run, worker } = choice;
@@ -300,7 +307,7 @@
             log::info!(
                 job:% = task.job(), queue:% = job.sub.queue, waited_ms = waited,
                 worker:% = worker, version = self.config.version;
-                "job begins"
+                "first run of job planned"
             );
         }
         let sub = job.sub.clone();
@@ -325,6 +332,7 @@
     }
 }
 
+/// What a run of a step takes up on its worker.
 pub(crate) fn held(run: u32, step: &Step) -> Held {
     Held {
         run,
@@ -343,9 +351,11 @@
     })
 }
 
-/// Tasks of a job that have no run, and their work in thousandths of a core times milliseconds.
+/// Number of a job's tasks that have no attempt, and their work in thousandths of a core times
+/// milliseconds.
 ///
-/// What no worker can ever hold waits for nothing, and keeps nobody waiting.
+/// Tasks that are too large for every worker are left out: they can never start, so they do not
+/// delay other jobs.
 fn free_work(job: &Job, largest_worker: Room) -> (u64, u64) {
     let steps = job.turns.iter();
     let steps = steps.flat_map(|turn| turn.steps.iter().zip(job.sub.steps.iter()));
@@ -361,13 +371,13 @@
     let free = run.tasks.iter().enumerate().filter(|(_, t)| t.is_free());
     let free: Vec<usize> = free.map(|(i, _)| i).collect();
     match step.gang && free.len() < run.tasks.len() {
-        // A gang starts whole: its last run has to be over first.
+        // A gang starts as a whole, so all attempts of its previous run have to be over.
         true => Vec::new(),
         false => free,
     }
 }
 
-/// Runs of a step on each worker.
+/// Number of attempts of a step on each worker.
 pub(crate) fn attempts_by_worker(run: &StepRun) -> Map<WorkerId, u32> {
     let mut found: Map<WorkerId, u32> = Map::default();
     for attempt in run.tasks.iter().flat_map(|t| &t.attempts) {
--- a/crates/cell/src/shares.rs
+++ b/crates/cell/src/shares.rs
@@ -1,4 +1,4 @@
-//! Which jobs are beyond their team's share.
+//! Determines which jobs exceed their team's share.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,38 +6,38 @@
 use cactuswheel_model::{Map, Time};
 use cactuswheel_work::{TeamName, TeamWeight};
 
-/// How a team's share is counted: the platform says.
+/// How a team's share is computed; set by the platform.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShareRule {
-    /// Time over which jobs are counted.
+    /// Length of the sliding window over which jobs are counted.
     pub window: Duration,
-    /// Part of the share that may come on top of it, for bursts.
+    /// Allowance for bursts, as a fraction of the share.
     pub burst: f64,
-    /// Jobs that may come on top in each window, whatever the share.
+    /// Number of jobs per window that are allowed in addition, regardless of the share.
     pub slack: u32,
 }
 
 impl ShareRule {
-    /// Jobs that a team of this weight may hand in within one window.
+    /// Number of jobs that a team of this weight may submit within one window.
     fn allowed(&self, weight: TeamWeight) -> usize {
         let share = weight.get() * self.window.as_secs_f64() * (1.0 + self.burst);
         share as usize + self.slack as usize
     }
 }
 
-/// The jobs of each team within its share of late.
+/// Recent jobs of each team that were within its share.
 ///
-/// Answers a team that hands in many times what it usually does while the fleet is full: its jobs
-/// beyond its share wait behind those of teams that keep to theirs. Nothing is refused, and with
-/// room for all it makes no difference.
+/// Protects other teams when one team submits many times its usual load while the fleet is full:
+/// the jobs beyond its share wait behind the jobs of teams that stay within theirs. No job is
+/// refused, and while there is room for all jobs the share has no effect.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
-    /// When each job within the share was handed in, oldest first.
+    /// Submission times of the jobs within the share, oldest first.
     admitted: Map<TeamName, VecDeque<Time>>,
 }
 
 impl Shares {
-    /// Counts a job that was handed in at `at`; true if it is within its team's share.
+    /// Counts a job that was submitted at `at`; returns true if it is within its team's share.
     pub(crate) fn admit(
         &mut self,
         rule: &ShareRule,
--- a/crates/cell/src/view.rs
+++ b/crates/cell/src/view.rs
@@ -1,4 +1,4 @@
-//! What a cell shows to those who decide about instances and to operators.
+//! Views of a cell's state for the capacity planner and for operators.
 
 use std::time::Duration;
 
@@ -8,28 +8,29 @@
 use crate::forecast::Forecast;
 use crate::learned::Arrivals;
 
-/// A worker, for those who decide about instances.
+/// A worker, for the capacity planner.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerView {
     /// The worker.
     pub worker: WorkerId,
-    /// Service whose pool it is in.
+    /// Service of the worker's pool.
     pub service: ServiceName,
-    /// Whether it answers and takes work.
+    /// Whether it responds and takes work.
     pub open: bool,
-    /// Whether it is kept free of new work.
+    /// Whether it responds but is kept free of new work: it was closed, its data centre is being
+    /// evacuated, or it is spent.
     pub closing: bool,
-    /// Whether its data centre is evacuated.
+    /// Whether its data centre is being evacuated.
     pub evacuated: bool,
-    /// Whether it can take no more work in its life.
+    /// Whether it can take no more work until it is restarted.
     pub spent: bool,
-    /// What it has.
+    /// Capacity of the worker.
     pub room: Room,
-    /// What is taken up.
+    /// Room taken up by runs.
     pub used: Room,
-    /// Runs there that last.
+    /// Number of its long-running runs.
     pub lasting: usize,
-    /// All runs there.
+    /// Number of all its runs.
     pub runs: usize,
 }
 
@@ -42,9 +43,9 @@
     pub worker: WorkerId,
     /// Number of the run.
     pub run: u32,
-    /// How far it is: planned, ordered, unknown, running or stopping.
+    /// Phase of the run: planned, ordered, unknown, running or stopping.
     pub phase: String,
-    /// Share of its work that is done, in percent.
+    /// Progress in percent.
     pub percent: u32,
 }
 
@@ -53,37 +54,38 @@
 pub struct JobView {
     /// Its queue.
     pub queue: QueueName,
-    /// Its state, as callers see it.
+    /// The state that is reported to callers.
     pub state: JobState,
-    /// How long ago it was handed in; of a finished job, how long ago it ended.
+    /// Time since its submission; of a finished job, time since its end.
     pub age: Duration,
-    /// Tasks that are done; not known of a finished job.
+    /// Number of tasks that are done; 0 for a finished job, where it is not known.
     pub done: usize,
-    /// Tasks that wait for a worker, or for an earlier step.
+    /// Number of tasks that wait for a worker or for an earlier step.
     pub waiting: usize,
-    /// Runs that are, or may be, somewhere.
+    /// Runs that exist, or may exist, on a worker.
     pub runs: Vec<RunView>,
 }
 
-/// What a service has to do.
+/// Load of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Room that runs take up.
+    /// Room taken up by runs.
     pub used: Room,
-    /// Room that tasks ask for which could start now, if there were room.
+    /// Room requested by tasks that could start now if there were room.
     pub waiting: Room,
-    /// The same of jobs that are of no use to their callers any more.
+    /// Room requested by such tasks of jobs that can no longer meet their objective; not part of
+    /// `waiting`.
     pub overdue: Room,
-    /// Room that lasting runs take up, or ask for.
+    /// Room taken up or requested by long-running steps.
     pub lasting: Room,
-    /// Workers that lasting steps have to be spread over.
+    /// Number of workers over which long-running steps have to be spread.
     pub spread: usize,
-    /// Queues that the service serves.
+    /// Number of queues of the service.
     pub queues: usize,
-    /// Work that waits, in core-milliseconds of processor, by what is known of its run time.
+    /// Waiting work of short jobs, in core-milliseconds, by the expected run time of its tasks.
     pub work: u64,
-    /// Room that known short jobs will ask for; not what waits in vain for its objective.
+    /// Room that known short jobs will request, without `overdue`.
     pub forecast: Forecast,
-    /// What has come in, by queue.
+    /// Arrivals by queue.
     pub arrivals: Map<QueueName, Arrivals>,
 }
--- a/crates/cell/src/wait_queue.rs
+++ b/crates/cell/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait for workers, best first.
+//! Jobs that wait for workers, in the order of their rank.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -8,16 +8,16 @@
 
 use crate::rank::Rank;
 
-/// A job's place in the queue of its service.
+/// Entry of a job in the queue of its service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct QueuedJob {
     pub(crate) service: ServiceName,
     pub(crate) rank: Rank,
-    /// Until then its rank stays the same, if nothing happens to it.
+    /// Time until which the rank is valid if the job does not change.
     pub(crate) valid_until: Time,
-    /// Work of its tasks that wait, in thousandths of a core times milliseconds.
+    /// Work of its waiting tasks, in thousandths of a core times milliseconds.
     pub(crate) work: u64,
-    /// Number of those tasks.
+    /// Number of its waiting tasks.
     pub(crate) tasks: u64,
 }
 
@@ -37,21 +37,22 @@
     }
 }
 
-/// Jobs with a task that should run and has no run, by service, best first.
+/// Jobs with at least one task that is not done and has no attempt, by service, best rank first.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     queues: Map<ServiceName, BTreeSet<(Rank, JobId)>>,
     queued: Map<JobId, QueuedJob>,
-    /// When each has to be ranked again.
+    /// Jobs by the time at which their rank expires.
     expiries: BTreeSet<(Time, JobId)>,
-    /// Work of all jobs that can be done while they are of use, by service.
+    /// Work of the jobs that can be done while they are still of use, by service, in thousandths of
+    /// a core times milliseconds.
     useful: Map<ServiceName, u64>,
-    /// Tasks of all jobs that can meet their objective.
+    /// Number of waiting tasks of the jobs that can meet their objective.
     timely: u64,
 }
 
 impl WaitQueue {
-    /// Puts a job into its queue, or takes it out.
+    /// Replaces the entry of a job; `None` removes the job from its queue.
     pub(crate) fn update(&mut self, id: JobId, current: Option<QueuedJob>) {
         let previous = self.queued.get(&id);
         if previous == current.as_ref() {
@@ -77,18 +78,18 @@
         }
     }
 
-    /// Work that waits for workers, of jobs that can be done while they are of use, in
-    /// thousandths of a core times milliseconds.
+    /// Waiting work of the jobs that can be done while they are still of use, in thousandths of a
+    /// core times milliseconds.
     pub(crate) fn useful_work(&self) -> u64 {
         self.useful.values().sum()
     }
 
-    /// The same of one service.
+    /// Like [`Self::useful_work`], for the jobs of one service.
     pub(crate) fn useful_work_of(&self, service: &ServiceName) -> u64 {
         self.useful.get(service).copied().unwrap_or_default()
     }
 
-    /// Tasks that wait for workers, of jobs that can meet their objective.
+    /// Number of waiting tasks of the jobs that can meet their objective.
     pub(crate) fn timely_tasks(&self) -> u64 {
         self.timely
     }
@@ -98,19 +99,19 @@
         self.queued.len()
     }
 
-    /// Jobs that have to be ranked again by `now`.
+    /// Jobs with a rank that has expired by `now`.
     pub(crate) fn stale(&self, now: Time) -> Vec<JobId> {
         let expired = self.expiries.iter().take_while(|(at, _)| *at <= now);
         expired.map(|(_, id)| *id).collect()
     }
 
-    /// Services with a job that waits.
+    /// Services with at least one waiting job.
     pub(crate) fn services(&self) -> Vec<ServiceName> {
         let nonempty = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
         nonempty.map(|(service, _)| service.clone()).collect()
     }
 
-    /// The job after `last` in the queue of a service; the first one after none.
+    /// The job after `last` in the queue of a service, or the first job if `last` is `None`.
     pub(crate) fn next(
         &self,
         service: &ServiceName,
