--- a/crates/cell/src/admission.rs
+++ b/crates/cell/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: a cell accepts the jobs that can start while they are still of use.
+//! Admission control: a cell accepts the jobs that can start while they are still useful.
 
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
 pub struct Slack {
     /// Longest delay with which the job can still be done within its objective.
     pub timely: Duration,
-    /// Longest delay with which the job can be done while it is still of use.
+    /// Longest delay with which the job can be done while it is still useful.
     pub useful: Duration,
 }
 
@@ -98,7 +98,7 @@
     /// Wait for the journal and the owner's network link, behind the tasks of jobs that can meet
     /// their objective.
     pub link: Duration,
-    /// Lower bound of the wait for room on workers, behind the work that is still of use: the time
+    /// Lower bound of the wait for room on workers, behind the work that is still useful: the time
     /// for the work of the job's service on that service's workers, or for all work on all workers,
     /// whichever is less.
     pub room: Duration,
@@ -109,7 +109,7 @@
     ///
     /// The throughput of the link is known well, so the wait for the link decides whether a job can
     /// meet its objective. The wait for room is only a lower bound, so it decides whether the job
-    /// can be of any use.
+    /// can be useful at all.
     pub fn excess(&self, slack: Slack) -> Option<Duration> {
         let link = self.link.saturating_sub(slack.timely);
         let room = self.room.saturating_sub(slack.useful);
--- a/crates/cell/src/commit.rs
+++ b/crates/cell/src/commit.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns the changed jobs in the order in which they are written. Long-running jobs that are
-    /// about to start go first, since they are useful from the second they run; then come jobs that
+    /// about to start go first, since every second that they run is useful; then come jobs that
     /// did not fit into an earlier batch.
     fn write_order(&mut self) -> Vec<JobId> {
         let late = std::mem::take(&mut self.late);
--- a/crates/cell/src/rank.rs
+++ b/crates/cell/src/rank.rs
@@ -12,7 +12,7 @@
 
 use crate::job::Job;
 
-/// Multiple of its objective after which a job is of no more use to its caller.
+/// Multiple of its objective after which a job is no longer useful to its caller.
 pub(crate) const LATE_FACTOR: f64 = 3.0;
 
 /// Expiry of a rank that does not change with the passing of time.
@@ -36,13 +36,13 @@
     Lasting,
     /// Can meet its objective.
     Timely,
-    /// Cannot meet its objective, but can be done while it is still of use.
+    /// Cannot meet its objective, but can be done while it is still useful.
     Late,
     /// Like `Timely`, but beyond its team's share.
     TimelyOverShare,
     /// Like `Late`, but beyond its team's share.
     LateOverShare,
-    /// Is of no more use to its caller, but was accepted.
+    /// No longer useful to its caller, but already accepted.
     Overdue,
 }
 
@@ -60,7 +60,7 @@
         matches!(self.class, Class::Timely | Class::TimelyOverShare)
     }
 
-    /// Whether the job ends by itself, and can be done while it is still of use.
+    /// Whether the job ends by itself, and can be done while it is still useful.
     pub(crate) fn is_useful(&self) -> bool {
         !matches!(self.class, Class::Lasting | Class::Overdue)
     }
--- a/crates/cell/src/wait_queue.rs
+++ b/crates/cell/src/wait_queue.rs
@@ -44,7 +44,7 @@
     queued: Map<JobId, QueuedJob>,
     /// Jobs by the time at which their rank expires.
     expiries: BTreeSet<(Time, JobId)>,
-    /// Work of the jobs that can be done while they are still of use, by service, in thousandths of
+    /// Work of the jobs that can be done while they are still useful, by service, in thousandths of
     /// a core times milliseconds.
     useful: Map<ServiceName, u64>,
     /// Number of waiting tasks of the jobs that can meet their objective.
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Waiting work of the jobs that can be done while they are still of use, in thousandths of a
+    /// Waiting work of the jobs that can be done while they are still useful, in thousandths of a
     /// core times milliseconds.
     pub(crate) fn useful_work(&self) -> u64 {
         self.useful.values().sum()
