--- a/crates/capacity/src/rate.rs
+++ b/crates/capacity/src/rate.rs
@@ -42,7 +42,7 @@
     /// `sigmas` is the number of standard deviations that are attributed to chance.
     pub(crate) fn update(&mut self, now: Time, arrivals: &Arrivals, sigmas: f64) -> ArrivalRate {
         if self.samples.is_empty() {
-            self.seed(&arrivals.earlier);
+            self.seed(&arrivals.restored);
         }
         let jobs = arrivals.jobs;
         self.samples.push_back((now, jobs));
--- a/crates/capacity/src/trend.rs
+++ b/crates/capacity/src/trend.rs
@@ -111,7 +111,7 @@
             let rate = self.rates.entry(queue.clone()).or_default();
             let estimate = rate.update(now, arrivals, policy.sigmas);
             declining |= estimate.declining;
-            (estimate.rate, &arrivals.course)
+            (estimate.rate, &arrivals.profile)
         });
         let rates: Vec<_> = rates.collect();
         // Running long-running tasks keep their capacity, and waiting ones request theirs only
--- a/crates/cell/src/commit.rs
+++ b/crates/cell/src/commit.rs
@@ -1,85 +1,88 @@
-//! What goes into the journal, and what holds once it is there.
+//! Writes batches to the journal, and applies their effects once they are appended.
 
 use std::time::Duration;
 
 use cactuswheel_model::{Map, Set, Time};
 use cactuswheel_work::{JobId, JobState, WorkerId};
 
-use crate::batch::{Batch, Consequences, Mark};
+use crate::batch::{Batch, BatchEffects, BatchId};
 use crate::cell::Cell;
-use crate::finished::{Finished, Kept};
+use crate::finished::{Finished, FinishedJob};
 use crate::journal::{JobRecord, encode};
 use crate::output::Output;
 
-/// About what an order to start takes beside what the job runs, in bytes.
-const ORDER_SIZE: usize = 300;
+/// Approximate size of a start order without the job's spec, in bytes.
+const ORDER_BYTES: usize = 300;
 
-/// Time between two requests to drop submissions: each takes an append for each partition of the
-/// intake, and a takeover reads what was not dropped.
-const DROP_EVERY: Duration = Duration::from_millis(2_000);
+/// Interval between two requests to drop submissions. Each request costs an append to every
+/// partition of the intake, but a takeover has to read every submission that was not dropped.
+const DROP_INTERVAL: Duration = Duration::from_millis(2_000);
 
 impl Cell {
-    /// The batch is in the journal.
-    pub fn appended(&mut self, now: Time, mark: Mark) {
+    /// Applies the effects of a batch that is now in the journal.
+    pub fn appended(&mut self, now: Time, batch: BatchId) {
         self.now = now;
-        let Some((_, done)) = self.flying.take_if(|(m, _)| *m == mark) else {
+        let Some((_, effects)) = self.flying.take_if(|(current, _)| *current == batch) else {
             return;
         };
         let took = now.since(self.written);
-        self.backlog.appended(took);
-        self.admission.appended(took);
-        for id in &done.accepted {
-            if let Some(job) = self.jobs.observe(id) {
+        self.backlog.record_append(took);
+        self.admission.record_append(took);
+        for id in &effects.accepted {
+            if let Some(job) = self.jobs.get_mut_untracked(id) {
                 job.in_journal = true;
             }
         }
-        if !done.accepted.is_empty() {
-            self.out.push(Output::Accepted(done.accepted));
+        if !effects.accepted.is_empty() {
+            self.out.push(Output::Accepted(effects.accepted));
         }
-        for (id, state) in done.states {
+        for (id, state) in effects.states {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.shown = Some(state);
+                job.journaled = Some(state);
             }
         }
-        for (id, finished) in done.finished {
-            self.keep(id, finished);
+        for (id, finished) in effects.finished {
+            self.retain_finished(id, finished);
         }
-        for (id, born, number) in done.ends {
+        for (id, born, number) in effects.ends {
             self.acknowledge(&id, born, number);
         }
-        for start in done.starts {
+        for start in effects.starts {
             self.order(start);
         }
     }
 
-    /// The journal holds a job's last record: only that is kept of it.
+    /// Drops a job whose final record the journal holds, except for that record, and lists its
+    /// submission for removal.
     ///
-    /// Failure: finished jobs stay in the intake with all that they ran, a new owner reads them
-    /// all before it starts anything, and on a narrow link that takes seconds. The journal's
-    /// record says all that callers may still ask, so the submission can go.
-    fn keep(&mut self, id: JobId, job: Finished) {
+    /// If submissions of finished jobs stayed in the intake, a new owner would read all of them,
+    /// with their specs, before it starts anything; on a narrow link that takes seconds. The
+    /// journal's record answers all that callers may still ask, so the submission is not needed.
+    fn retain_finished(&mut self, id: JobId, job: Finished) {
         let known = self.jobs.remove(&id);
-        // A cancel stands in the intake wherever the submission is.
-        let elsewhere = known.as_ref().is_some_and(|j| !j.in_intake);
+        // A cancellation is always stored in the intake, even if the submission is only in the
+        // journal.
+        let journal_only = known.as_ref().is_some_and(|j| !j.in_intake);
         let cancelled = job.state == JobState::Cancelled;
         let ended = known.and_then(|j| j.ended).unwrap_or(self.now);
-        self.remember(id, Kept { job, ended });
-        self.wait_queue.put(id, None);
+        self.insert_finished(id, FinishedJob { job, ended });
+        self.wait_queue.update(id, None);
         self.tickets.retain(|step, _| step.job != id);
-        if cancelled || !elsewhere {
+        if cancelled || !journal_only {
             self.unneeded.push(id);
         }
     }
 
-    pub(crate) fn remember(&mut self, id: JobId, kept: Kept) {
-        if self.finished.insert(id, kept).is_none() {
+    /// Adds a finished job to those that callers can ask for.
+    pub(crate) fn insert_finished(&mut self, id: JobId, entry: FinishedJob) {
+        if self.finished.insert(id, entry).is_none() {
             self.oldest.push_back(id);
         }
     }
 
-    /// Asks to drop the submissions of finished jobs, many at a time.
+    /// Requests the removal of the submissions of finished jobs, in groups.
     pub(crate) fn drop_submissions(&mut self) {
-        let due = self.now.since(self.last_drop) >= DROP_EVERY;
+        let due = self.now.since(self.last_drop) >= DROP_INTERVAL;
         if self.unneeded.is_empty() || !due {
             return;
         }
@@ -88,14 +91,14 @@
         self.out.push(Output::DropSubmissions(jobs));
     }
 
-    /// Puts what changed into a batch.
-    pub(crate) fn write(&mut self) {
+    /// Writes the jobs that changed into a batch, up to the size limit.
+    pub(crate) fn write_batch(&mut self) {
         if self.dirty.is_empty() {
-            return self.note_ends();
+            return self.mark_ends_written();
         }
         let mut draft = Draft::default();
         let orders = self.order_sizes();
-        for id in self.in_order() {
+        for id in self.write_order() {
             if draft.size >= self.bounds.batch {
                 self.dirty.insert(id);
                 self.late.insert(id);
@@ -108,28 +111,29 @@
         let planned = std::mem::take(&mut self.planned).into_iter();
         let (later, now): (Vec<_>, Vec<_>) = planned.partition(|p| left.contains(&p.task.job()));
         self.planned = later;
-        self.admission.wrote(now.len(), draft.size);
-        self.backlog.wrote(now.len(), draft.size);
-        draft.done.starts = now;
+        self.admission.record_write(now.len(), draft.size);
+        self.backlog.record_write(now.len(), draft.size);
+        draft.effects.starts = now;
         self.workers.settle();
         let left = &self.dirty;
         let fresh = self.workers.fresh();
         let ends = fresh.map(|w| (w.id.clone(), w.born, w.written(left)));
-        draft.done.ends = ends.collect();
+        draft.effects.ends = ends.collect();
         self.written = self.now;
-        let mark = Mark(self.next_mark);
+        let number = BatchId(self.next_mark);
         self.next_mark += 1;
-        self.flying = Some((mark, draft.done));
+        self.flying = Some((number, draft.effects));
         self.out.push(Output::Append(Batch {
-            mark,
+            number,
             submissions: draft.submissions,
             records: draft.records,
         }));
     }
 
-    /// What changed, in the order in which it is written: lasting work that is about to start earns by
-    /// the second, and what a full batch has left out before goes ahead of the rest.
-    fn in_order(&mut self) -> Vec<JobId> {
+    /// Returns the changed jobs in the order in which they are written. Long-running jobs that are
+    /// about to start go first, since every second that they run is useful; then come jobs that
+    /// did not fit into an earlier batch.
+    fn write_order(&mut self) -> Vec<JobId> {
         let late = std::mem::take(&mut self.late);
         let planned = self.planned.iter().map(|p| p.task.job());
         let lasting = planned.filter(|id| self.jobs.get(id).is_some_and(|j| j.sub.lasting()));
@@ -139,25 +143,25 @@
         dirty
     }
 
-    /// About how many bytes the orders to start take that follow once each job is in the journal.
+    /// Returns the approximate size in bytes of the start orders that follow each job's record.
     ///
-    /// Failure: a queue's work starts all at once, the orders with all that they run are ten times
-    /// what the journal takes, and on a narrow link renewals, looks and answers wait behind
-    /// them for longer than their time limits: sound workers and relays are given up. What is
-    /// under way with a batch is bounded as a whole, orders included.
+    /// The size limit of a batch covers its orders too. Otherwise, when the jobs of a queue start
+    /// all at once, the orders with their specs take ten times the bytes of the journal records; on
+    /// a narrow link, lease renewals, polls and answers wait behind them for longer than their
+    /// timeouts, and healthy workers and relays are given up.
     fn order_sizes(&self) -> Map<JobId, usize> {
         let mut sizes: Map<JobId, usize> = Map::default();
         for start in &self.planned {
             let id = start.task.job();
             let job = self.jobs.get(&id).filter(|_| !self.named);
             let spec = job.map_or(0, |j| j.sub.spec.len());
-            *sizes.entry(id).or_default() += ORDER_SIZE + spec;
+            *sizes.entry(id).or_default() += ORDER_BYTES + spec;
         }
         sizes
     }
 
-    /// Ends of runs that no job knows change nothing; they need no journal.
-    fn note_ends(&mut self) {
+    /// Marks ends as journaled when there is nothing to write: these ends changed no job.
+    fn mark_ends_written(&mut self) {
         self.workers.settle();
         let fresh: Vec<WorkerId> = self.workers.fresh().map(|w| w.id.clone()).collect();
         for id in fresh {
@@ -167,29 +171,30 @@
         }
     }
 
+    /// Adds the record of a job, and its submission if the journal is to hold it, to a batch.
     fn write_job(&mut self, id: JobId, draft: &mut Draft) {
         if self.finished.contains_key(&id) {
-            // Its record is the last one already.
+            // The journal already holds the job's final record.
             return;
         }
         let job = self.jobs.get(&id);
         let record = job.map(JobRecord::new);
         if let Some(handed) = self.handed.remove(&id) {
-            draft.done.accepted.push(id);
-            // The last record stands by itself.
+            draft.effects.accepted.push(id);
+            // A final record does not need the submission.
             if matches!(record, Some(JobRecord::Open(_))) {
                 draft.size += handed.len();
                 draft.submissions.push((id, Some(handed)));
             }
         }
         if let Some(job) = job.filter(|j| j.state.is_final()) {
-            draft.done.states.push((id, job.state));
+            draft.effects.states.push((id, job.state));
         }
         if let Some(JobRecord::Finished(last)) = &record {
             if job.is_some_and(|j| j.in_journal) {
                 draft.submissions.push((id, None));
             }
-            draft.done.finished.push((id, last.clone()));
+            draft.effects.finished.push((id, last.clone()));
         }
         let record = record.map(|r| encode(&r));
         draft.size += record.as_ref().map_or(0, Vec::len);
@@ -197,12 +202,12 @@
     }
 }
 
-/// A batch in the making.
+/// A batch that is being assembled.
 #[derive(Debug, Default)]
 struct Draft {
     submissions: Vec<(JobId, Option<Vec<u8>>)>,
     records: Vec<(JobId, Option<Vec<u8>>)>,
-    done: Consequences,
-    /// Bytes so far.
+    effects: BatchEffects,
+    /// Bytes so far, start orders included.
     size: usize,
 }
--- a/crates/cell/src/learned.rs
+++ b/crates/cell/src/learned.rs
@@ -1,4 +1,4 @@
-//! What was learnt of a queue's jobs.
+//! Statistics on the jobs of a queue.
 
 use std::time::Duration;
 
@@ -6,94 +6,97 @@
 
 use crate::forecast::Forecast;
 
-/// Jobs over which the mean course of a job is taken: sizes within a queue differ by a factor of
-/// ten, so that fewer say little, and a queue whose jobs change is known anew within seconds.
-const MEAN_OVER: u64 = 64;
+/// Number of jobs over which the mean demand profile is taken. Job sizes within a queue differ by a
+/// factor of ten, so a mean over fewer jobs is unreliable; with this number the mean still
+/// adapts within seconds when the jobs of a queue change.
+const MEAN_JOBS: u64 = 64;
 
-/// Guessed time, in milliseconds, after which older run times count half as much.
-const FORGET_AFTER: u64 = 400_000;
+/// Total estimated time, in milliseconds, beyond which all earlier run times are weighted by half.
+const HALVE_AFTER_MS: u64 = 400_000;
 
-/// Guessed time, in milliseconds, that the callers' guesses count before anything is learnt.
-const TRUST: u64 = 20_000;
+/// Weight of the prior assumption that the callers' estimates are right, in milliseconds of run
+/// time.
+const PRIOR_MS: u64 = 20_000;
 
-/// What has come in on a queue of short jobs.
+/// Arrivals of short jobs on a queue.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Arrivals {
-    /// Number of jobs; only rises.
+    /// Total number of jobs; never decreases.
     pub jobs: u64,
-    /// When those among them arrived that an earlier owner has taken in.
-    pub earlier: Vec<Time>,
-    /// What a job asks for from its arrival on, on average.
-    pub course: Forecast,
+    /// Arrival times of those jobs that an earlier owner had accepted.
+    pub restored: Vec<Time>,
+    /// Mean demand of a job over time, starting at its arrival.
+    pub profile: Forecast,
 }
 
-/// Times that were taken and what had been guessed of them, older ones counting less.
+/// Sums of actual and estimated run times; older ones have less weight.
 #[derive(Debug, Clone, Copy, Default)]
-struct Guesses {
-    /// In milliseconds.
-    took: u64,
-    /// In milliseconds.
-    guessed: u64,
+struct EstimateError {
+    /// Actual run time in milliseconds.
+    actual: u64,
+    /// Estimated run time in milliseconds.
+    estimated: u64,
 }
 
-impl Guesses {
-    fn add(&mut self, guess: Millis, took: Duration) {
-        self.took += took.as_millis() as u64;
-        self.guessed += guess.get();
-        if self.guessed > FORGET_AFTER {
-            self.took /= 2;
-            self.guessed /= 2;
+impl EstimateError {
+    fn add(&mut self, estimate: Millis, actual: Duration) {
+        self.actual += actual.as_millis() as u64;
+        self.estimated += estimate.get();
+        if self.estimated > HALVE_AFTER_MS {
+            self.actual /= 2;
+            self.estimated /= 2;
         }
     }
 
-    /// How many times as long as guessed things take.
+    /// Ratio of the actual to the estimated run time.
     fn factor(self) -> f64 {
-        (self.took + TRUST) as f64 / (self.guessed + TRUST) as f64
+        (self.actual + PRIOR_MS) as f64 / (self.estimated + PRIOR_MS) as f64
     }
 }
 
-/// What was learnt of a queue's jobs.
+/// Statistics on the jobs of a queue.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Learned {
+pub(crate) struct QueueStats {
     pub(crate) arrivals: Arrivals,
-    /// Run times of tasks.
-    tasks: Guesses,
-    /// Run times of the longest task of each step.
-    steps: Guesses,
+    /// Estimate error of single tasks.
+    tasks: EstimateError,
+    /// Estimate error of the longest task of each step.
+    steps: EstimateError,
 }
 
-impl Learned {
-    /// A job has arrived that asks for this from now on.
-    pub(crate) fn arrive(&mut self, course: &Forecast) {
+impl QueueStats {
+    /// Records the arrival of a job with this demand profile.
+    pub(crate) fn record_arrival(&mut self, profile: &Forecast) {
         let arrivals = &mut self.arrivals;
         arrivals.jobs += 1;
-        let count = arrivals.jobs.min(MEAN_OVER);
-        arrivals.course.average(course, count);
+        let count = arrivals.jobs.min(MEAN_JOBS);
+        arrivals.profile.average(profile, count);
     }
 
-    /// A task is done.
-    pub(crate) fn task_done(&mut self, guess: Millis, took: Duration) {
-        self.tasks.add(guess, took);
+    /// Records the run time of a task that is done.
+    pub(crate) fn task_done(&mut self, estimate: Millis, actual: Duration) {
+        self.tasks.add(estimate, actual);
     }
 
-    /// A step is done; `longest` is the run time of its longest task.
-    pub(crate) fn step_done(&mut self, guess: Millis, longest: Duration) {
-        self.steps.add(guess, longest);
+    /// Records a step that is done; `longest` is the run time of its longest task.
+    pub(crate) fn step_done(&mut self, estimate: Millis, longest: Duration) {
+        self.steps.add(estimate, longest);
     }
 
-    /// Run time, in milliseconds, of a task for which callers guess this.
+    /// Returns the expected run time, in milliseconds, of a task with this estimate.
     ///
-    /// Guesses are off by half as a rule, and by more on a queue whose callers all guess too
-    /// low; what the queue's tasks took together is known within a few jobs.
-    pub(crate) fn run_time(&self, guess: Millis) -> u64 {
-        (guess.get() as f64 * self.tasks.factor()) as u64
+    /// Estimates are typically off by half, and by more on a queue whose callers all estimate too
+    /// low. The total run time of the queue's tasks corrects them after a few jobs.
+    pub(crate) fn run_time(&self, estimate: Millis) -> u64 {
+        (estimate.get() as f64 * self.tasks.factor()) as u64
     }
 
-    /// How many times as long as callers guess the longest task of a step takes.
+    /// Ratio of the run time of a step's longest task to the caller's estimate.
     ///
-    /// Tasks of one step differ, and a step is done with its longest: a job of which the guesses
-    /// say that it is late may be in time, since its objective counts what its work takes.
-    pub(crate) fn stretch(&self) -> f64 {
+    /// The tasks of a step differ in run time, and the step is done when its longest task is. A job
+    /// that is late by its caller's estimates may still be in time, since the objective is computed
+    /// from the actual run time of its work.
+    pub(crate) fn slowdown(&self) -> f64 {
         self.steps.factor()
     }
 }
--- a/crates/node/src/event.rs
+++ b/crates/node/src/event.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use cactuswheel_cell::{Mark, Standing, Waits};
+use cactuswheel_cell::{BatchId, Standing, StartDelay};
 use cactuswheel_model::Time;
 use cactuswheel_relay::{Offer, Reply};
 use cactuswheel_work::{
@@ -41,7 +41,7 @@
     /// A relay no longer takes orders, and the reason.
     RelayLost(NodeName, &'static str),
     /// A batch was written to the journal.
-    Appended(Mark),
+    Appended(BatchId),
     /// The journal is fenced by a newer owner.
     Deposed,
     /// The platform's list of instances, and when it was requested.
@@ -73,7 +73,7 @@
     Job(JobId, oneshot::Sender<JobAnswer>),
     /// What the owner knows of a job, and how long a new one would wait; a front end asks this
     /// before it refuses the job.
-    Standing(JobId, ServiceName, oneshot::Sender<(Standing, Waits)>),
+    Standing(JobId, ServiceName, oneshot::Sender<(Standing, StartDelay)>),
     /// The state of the cell, for operators.
     CellView(oneshot::Sender<Value>),
     /// The state of a job, for operators.
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -271,7 +271,7 @@
         match ask {
             Query::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
             Query::Standing(id, service, reply) => {
-                let _ = reply.send((self.cell.standing(id), self.cell.waits(&service)));
+                let _ = reply.send((self.cell.standing(id), self.cell.start_delay(&service)));
             }
             Query::CellView(reply) => drop(reply.send(cell_view(&self.cell))),
             Query::JobView(id, reply) => drop(reply.send(job_view(&self.cell, id))),
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use cactuswheel_cell::{Standing, Waits};
+use cactuswheel_cell::{Standing, StartDelay};
 use cactuswheel_relay::{Offer, Reply, SpecDigest};
 use cactuswheel_work::{JobId, JobState, NodeName, QueueName, ServiceName, TeamName};
 use futures::StreamExt;
@@ -79,7 +79,7 @@
     /// The job was not stored and never will be.
     Refused,
     /// The job was not stored and never will be, because it would start too late.
-    Overloaded(Waits),
+    Overloaded(StartDelay),
     /// The outcome is unknown: the job may be accepted already, or be accepted later.
     Unknown,
 }
@@ -93,7 +93,7 @@
     async fn queue(name: QueueName) -> QueueAnswer;
     /// To the owner: what it knows of a job without reading the intake, and how long a new job of
     /// this service would wait; `None` from a node that is not the owner.
-    async fn standing(id: JobId, service: ServiceName) -> Option<(Standing, Waits)>;
+    async fn standing(id: JobId, service: ServiceName) -> Option<(Standing, StartDelay)>;
     /// To the owner: accept this job within `limit` milliseconds. The front end at `origin` keeps
     /// the job spec.
     async fn hand_in(record: Bytes, origin: SocketAddr, limit: u64) -> HandInAnswer;
@@ -130,7 +130,7 @@
         _: Context,
         id: JobId,
         service: ServiceName,
-    ) -> Option<(Standing, Waits)> {
+    ) -> Option<(Standing, StartDelay)> {
         self.0.local_owner.load_full()?.standing(id, service).await
     }
 
@@ -235,7 +235,7 @@
         id: JobId,
         service: ServiceName,
         limit: Duration,
-    ) -> Option<(Standing, Waits)> {
+    ) -> Option<(Standing, StartDelay)> {
         let answer = self
             .client
             .standing(context_with_timeout(limit), id, service);
