--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -1,4 +1,4 @@
-//! Permissions of the policy service.
+//! Permissions (tickets) from the policy service, which restrict the workers of a step.
 
 use cactuswheel_model::{Map, Time};
 use cactuswheel_work::{Advice, ServiceName, StepId, WorkerId};
@@ -7,44 +7,48 @@
 use crate::free_index::Scope;
 use crate::output::Output;
 
-/// Most workers named in one question. Each adds to the time of the answer, and a step seldom
-/// needs more; those with the most room are named first.
-const NAMED: usize = 12;
+/// Greatest number of workers in one request to the policy service. Each worker adds to the
+/// response time, and a step seldom needs more; workers with the most free room are listed first.
+const MAX_NAMED: usize = 12;
 
-/// Share of a permission's life in which it is used; it has to hold when the order arrives.
-const USED_SHARE: f64 = 0.7;
+/// Fraction of a ticket's validity in which it is used; it still has to be valid when the start
+/// order arrives at the worker.
+const USABLE_SHARE: f64 = 0.7;
 
-/// Whether the workers for a step are known.
+/// The workers that may run a step.
 pub(crate) enum Permitted {
-    /// Every worker.
+    /// Every worker; the queue has no policy service.
     Any,
-    /// These.
+    /// Only these workers.
     Only(Vec<WorkerId>),
-    /// Not yet: the policy service was asked.
-    Asked,
+    /// Not known yet; the policy service has not answered.
+    Pending,
 }
 
-/// A permission.
+/// Permission to run a step on one worker.
 #[derive(Debug, Clone)]
 pub(crate) struct Ticket {
     pub(crate) text: String,
-    /// Life of the worker that it is for.
+    /// Start time of the worker for which the ticket was issued; a restarted worker needs a new
+    /// one.
     born: u64,
-    until: Time,
+    expiry: Time,
 }
 
-/// Permissions of one step.
+/// Tickets of one step.
 #[derive(Debug, Default)]
 pub(crate) struct Tickets {
-    good: Map<WorkerId, Ticket>,
-    /// Workers that were named and may not run it. The policy does not change for a step.
-    bad: Vec<WorkerId>,
-    /// Workers named in the question that is under way.
-    asked: Vec<WorkerId>,
+    granted: Map<WorkerId, Ticket>,
+    /// Workers for which the policy service denied a ticket. Its decisions for a step do not
+    /// change.
+    denied: Vec<WorkerId>,
+    /// Workers in the request that is in flight; empty if there is none.
+    pending: Vec<WorkerId>,
 }
 
 impl Cell {
-    /// The workers that may run a step; asks the policy service if too few are known.
+    /// Returns the workers that may run a step. Without a valid ticket, the policy service is
+    /// asked, unless a request is in flight.
     pub(crate) fn permitted(&mut self, step: StepId, service: &ServiceName) -> Permitted {
         let Some(_) = self.advice_of(step) else {
             return Permitted::Any;
@@ -52,65 +56,67 @@
         let now = self.now;
         let workers = &self.workers;
         let tickets = self.tickets.entry(step).or_default();
-        let valid = tickets.good.iter().filter(|(id, t)| {
+        let valid = tickets.granted.iter().filter(|(id, t)| {
             let alive = workers.get(id).is_some_and(|w| w.born == t.born);
-            alive && t.until > now
+            alive && t.expiry > now
         });
         let valid: Vec<WorkerId> = valid.map(|(id, _)| id.clone()).collect();
         if !valid.is_empty() {
             return Permitted::Only(valid);
         }
-        if tickets.asked.is_empty() {
+        if tickets.pending.is_empty() {
             let free_index = workers.free_index(service).into_iter();
             let roomy = free_index.flat_map(|r| r.emptiest(Scope::All, 0));
             let open = roomy.filter_map(|n| workers.by_number(n));
-            let open = open.filter(|w| w.is_schedulable(now) && !tickets.bad.contains(&w.id));
-            tickets.asked = open.take(NAMED).map(|w| w.id.clone()).collect();
-            if !tickets.asked.is_empty() {
-                let workers = tickets.asked.clone();
+            let open = open.filter(|w| w.is_schedulable(now) && !tickets.denied.contains(&w.id));
+            tickets.pending = open.take(MAX_NAMED).map(|w| w.id.clone()).collect();
+            if !tickets.pending.is_empty() {
+                let workers = tickets.pending.clone();
                 self.outputs.push(Output::RequestAdvice { step, workers });
             }
         }
-        Permitted::Asked
+        Permitted::Pending
     }
 
-    /// The policy service answered, or did not (`None`).
-    pub fn advised(&mut self, now: Time, step: StepId, good: Option<Vec<(WorkerId, String)>>) {
+    /// Handles the answer of the policy service; `None` if it did not answer.
+    pub fn advised(&mut self, now: Time, step: StepId, granted: Option<Vec<(WorkerId, String)>>) {
         self.now = now;
         self.reschedule = true;
         let valid = self.advice_of(step).map(|a| a.valid.duration());
         let Some(tickets) = self.tickets.get_mut(&step) else {
             return;
         };
-        let asked = std::mem::take(&mut tickets.asked);
-        let (Some(good), Some(valid)) = (good, valid) else {
+        let pending = std::mem::take(&mut tickets.pending);
+        let (Some(granted), Some(valid)) = (granted, valid) else {
             return;
         };
-        let refused = asked
+        let refused = pending
             .iter()
-            .filter(|a| !good.iter().any(|(id, _)| id == *a));
-        tickets.bad.extend(refused.cloned());
-        for (id, text) in good {
+            .filter(|named| !granted.iter().any(|(id, _)| id == *named));
+        tickets.denied.extend(refused.cloned());
+        for (id, text) in granted {
             let born = self.workers.get(&id).map_or(0, |w| w.born);
-            let until = now.after(valid.mul_f64(USED_SHARE));
-            tickets.good.insert(id, Ticket { text, born, until });
+            let expiry = now.after(valid.mul_f64(USABLE_SHARE));
+            tickets.granted.insert(id, Ticket { text, born, expiry });
         }
     }
 
+    /// The policy service settings of a step's queue; `None` if the queue has none.
     pub(crate) fn advice_of(&self, step: StepId) -> Option<Advice> {
         let job = self.jobs.get(&step.job)?;
         self.config.queues.get(&job.sub.queue)?.advice
     }
 
+    /// The ticket of a step for a worker, to be sent with the start order.
     pub(crate) fn ticket(&self, step: StepId, worker: &WorkerId) -> Option<String> {
-        let ticket = self.tickets.get(&step)?.good.get(worker)?;
+        let ticket = self.tickets.get(&step)?.granted.get(worker)?;
         Some(ticket.text.clone())
     }
 
-    /// A worker refused a permission: it is asked for anew.
+    /// Removes a ticket that a worker refused, so that a new one is requested.
     pub(crate) fn forget_ticket(&mut self, step: StepId, worker: &WorkerId) {
         if let Some(tickets) = self.tickets.get_mut(&step) {
-            tickets.good.remove(worker);
+            tickets.granted.remove(worker);
         }
     }
 }
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -14,13 +14,13 @@
 use crate::advice::Tickets;
 use crate::attempt::Phase;
 use crate::backlog::Backlog;
-use crate::batch::{Consequences, Mark, PlannedStart};
+use crate::batch::{BatchEffects, BatchId, PlannedStart};
 use crate::blame::AbandonedRuns;
 use crate::bounds::Bounds;
-use crate::finished::Kept;
+use crate::finished::FinishedJob;
 use crate::job::Job;
 use crate::jobs::Jobs;
-use crate::learned::Learned;
+use crate::learned::QueueStats;
 use crate::output::Output;
 use crate::policy::WorkPolicy;
 use crate::run_state::Turn;
@@ -63,7 +63,7 @@
     /// Jobs whose last record is in the journal; only this record is kept.
     ///
     /// Invariant: disjoint from `jobs`.
-    pub(crate) finished: Map<JobId, Kept>,
+    pub(crate) finished: Map<JobId, FinishedJob>,
     /// Identifiers of `finished`, oldest first.
     pub(crate) finished_order: VecDeque<JobId>,
     /// Finished jobs whose submission is still in the intake and can be dropped.
@@ -90,13 +90,13 @@
     /// Runs whose start order waits until the journal holds them.
     pub(crate) planned: Vec<PlannedStart>,
     /// The batch being appended, and what takes effect once the append is confirmed.
-    pub(crate) in_flight: Option<(Mark, Consequences)>,
+    pub(crate) in_flight: Option<(BatchId, BatchEffects)>,
     /// When the append of that batch was requested.
     pub(crate) append_sent: Time,
-    pub(crate) next_mark: u64,
+    pub(crate) next_batch: u64,
     pub(crate) outputs: Vec<Output>,
     /// Run times and arrivals observed for each queue.
-    pub(crate) learned: Map<QueueName, Learned>,
+    pub(crate) queue_stats: Map<QueueName, QueueStats>,
     /// Set by an event that may let a waiting task start; the next poll then runs the scheduler.
     pub(crate) reschedule: bool,
     pub(crate) now: Time,
@@ -149,9 +149,9 @@
             planned: Vec::new(),
             in_flight: None,
             append_sent: Time::default(),
-            next_mark: 1,
+            next_batch: 1,
             outputs: Vec::new(),
-            learned: Map::default(),
+            queue_stats: Map::default(),
             reschedule: true,
             now: Time::default(),
             tallies: Tallies::default(),
@@ -229,7 +229,7 @@
     /// State of a job as callers see it; `None` if the job is unknown.
     pub fn state(&self, id: JobId) -> Option<JobState> {
         let kept = self.finished.get(&id).map(|k| k.job.state);
-        kept.or_else(|| self.jobs.get(&id).map(Job::visible))
+        kept.or_else(|| self.jobs.get(&id).map(Job::reported_state))
     }
 
     /// Team that owns a job; `None` if the job is unknown or has no team.
@@ -243,7 +243,8 @@
     /// Number of jobs of a queue of which no task has started yet.
     pub fn pending_jobs(&self, queue: &QueueName) -> u64 {
         let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
-        let waiting = jobs.filter(|j| j.sub.queue == *queue && j.visible() == JobState::Queued);
+        let waiting =
+            jobs.filter(|j| j.sub.queue == *queue && j.reported_state() == JobState::Queued);
         waiting.count() as u64
     }
 
@@ -273,10 +274,10 @@
     /// Updates the indexes for the jobs and workers that changed since the last call.
     pub(crate) fn update_indexes(&mut self) {
         self.workers.update_indexes();
-        let due = self.wait_queue.due(self.now);
+        let due = self.wait_queue.stale(self.now);
         for id in self.jobs.take_touched().into_iter().chain(due) {
-            let queued = self.jobs.get(&id).and_then(|job| self.queued(job));
-            self.wait_queue.put(id, queued);
+            let queued = self.jobs.get(&id).and_then(|job| self.queue_entry(job));
+            self.wait_queue.update(id, queued);
         }
     }
 
@@ -294,7 +295,7 @@
                 self.reschedule = false;
                 self.schedule();
             }
-            self.write();
+            self.write_batch();
         }
         self.drop_submissions();
         self.poll_due_workers();
--- a/crates/cell/src/ends.rs
+++ b/crates/cell/src/ends.rs
@@ -61,7 +61,7 @@
         let Some(job) = self.jobs.get_mut(&task.job()) else {
             return;
         };
-        let learned = self.learned.entry(job.sub.queue.clone()).or_default();
+        let learned = self.queue_stats.entry(job.sub.queue.clone()).or_default();
         learned.task_done(step.estimate, took);
         let Some(run) = job.step_run_mut(task) else {
             return;
@@ -323,7 +323,7 @@
         run: u32,
         id: &WorkerId,
     ) -> Option<&mut Attempt> {
-        let job = self.jobs.observe(&task.job())?;
+        let job = self.jobs.get_mut_untracked(&task.job())?;
         let attempts = &mut job.task_mut(task)?.attempts;
         attempts
             .iter_mut()
--- a/crates/cell/src/evacuation.rs
+++ b/crates/cell/src/evacuation.rs
@@ -10,7 +10,7 @@
 use crate::free_index::Scope;
 use crate::job::Job;
 use crate::run_state::StepRun;
-use crate::schedule::beside;
+use crate::schedule::attempts_by_worker;
 
 /// Interval between attempts to stop long-running tasks on evacuating workers. A replacement is
 /// seen to be active after some hundred milliseconds, and each attempt iterates over every run
@@ -148,7 +148,7 @@
     /// the step than the spread.
     fn fits_elsewhere(&self, job: &Job, step: &Step, run: &StepRun) -> bool {
         let service = self.service_of(job);
-        let beside = beside(run);
+        let per_worker = attempts_by_worker(run);
         let Some(free_index) = self.workers.free_index(&service) else {
             return false;
         };
@@ -158,7 +158,7 @@
             let Some(entry) = w.entry.as_ref().filter(|_| w.is_schedulable(self.now)) else {
                 return false;
             };
-            let tasks = beside.get(&w.id).copied().unwrap_or_default();
+            let tasks = per_worker.get(&w.id).copied().unwrap_or_default();
             let labelled = step.label.as_ref().is_none_or(|l| entry.labels.contains(l));
             let apart = step.spread == 0 || tasks < step.spread;
             labelled && apart && step.reserved().fits(w.free())
--- a/crates/cell/src/output.rs
+++ b/crates/cell/src/output.rs
@@ -27,7 +27,7 @@
         /// Address of the worker.
         addr: SocketAddr,
         /// Number of the poll, to be passed back with the answer.
-        number: u64,
+        poll_number: u64,
         /// The order to send.
         order: HoldOrder,
     },
--- a/crates/cell/src/polls.rs
+++ b/crates/cell/src/polls.rs
@@ -95,7 +95,7 @@
             self.outputs.push(Output::PollWorker {
                 worker: worker.id.clone(),
                 addr,
-                number: worker.poll_number,
+                poll_number: worker.poll_number,
                 order,
             });
         }
--- a/crates/cell/src/schedule.rs
+++ b/crates/cell/src/schedule.rs
@@ -1,4 +1,4 @@
-//! A scheduling cycle: waiting tasks meet workers with room.
+//! The scheduling cycle: assigns pending tasks to workers with enough free room.
 
 use std::time::Duration;
 
@@ -12,61 +12,63 @@
 use crate::choices::{Choice, Choices};
 use crate::finished::Redone;
 use crate::job::Job;
-use crate::learned::Learned;
+use crate::learned::QueueStats;
 use crate::place::{Affinity, Constraints, Placement, pick_worker};
 use crate::rank::{Rank, rank};
 use crate::run_state::StepRun;
 use crate::wait_queue::QueuedJob;
 use crate::worker::Allocation;
 
-/// Tasks without a place after which a round leaves a service: those behind seldom fit either.
+/// Number of tasks without a worker after which a cycle skips the rest of a service's queue: the
+/// jobs further back seldom fit either.
 const MAX_MISSES: usize = 24;
 
-/// Longest time for which a rank is believed: what is learnt of run times shifts it.
+/// Longest time for which a rank is cached: new statistics on run times change it.
 const RANK_TTL: Duration = Duration::from_millis(500);
 
-/// Tasks of a step that wait for a worker.
-struct OpenStep {
+/// A step with tasks that wait for a worker.
+struct PendingStep {
     id: StepId,
-    /// Index of the occurrence among those that were due.
+    /// Index of the occurrence in `Job::turns`.
     turn: usize,
+    /// Indices of the tasks without an attempt.
     free: Vec<usize>,
 }
 
-/// Tasks of one round that found no place.
+/// Tasks of one service for which the current cycle found no worker.
 #[derive(Default)]
 struct Misses {
     count: usize,
-    /// Room that no worker of the service has.
-    free_index: Vec<Room>,
+    /// Amounts of room that no worker of the service has free.
+    too_large: Vec<Room>,
 }
 
 impl Misses {
-    /// A task found no place; `room` if no worker has that much.
+    /// Counts a task without a worker; `room` is given if no worker has that much room free.
     fn add(&mut self, room: Option<Room>) {
         self.count += 1;
-        self.free_index.extend(room);
+        self.too_large.extend(room);
     }
 
-    /// Whether a task that asks for this much cannot have a place either.
-    fn cover(&self, room: Room) -> bool {
-        self.free_index.iter().any(|missed| missed.fits(room))
+    /// Whether a task that requests this much room cannot be placed, going by the earlier misses.
+    fn covers(&self, room: Room) -> bool {
+        self.too_large.iter().any(|missed| missed.fits(room))
     }
 }
 
 impl Cell {
-    /// Finds places for waiting tasks, best jobs first.
+    /// Assigns pending tasks to workers, jobs with the best rank first.
     pub(crate) fn schedule(&mut self) {
         self.update_indexes();
         for service in self.wait_queue.services() {
             if self.workers.free_index(&service).is_some() {
-                self.fill(&service);
+                self.schedule_service(&service);
             }
         }
     }
 
-    /// Finds places on the workers of one service.
-    fn fill(&mut self, service: &ServiceName) {
+    /// Assigns the pending tasks of one service to its workers.
+    fn schedule_service(&mut self, service: &ServiceName) {
         let mut misses = Misses::default();
         let mut last = None;
         while let Some(next) = self.wait_queue.next(service, last) {
@@ -78,41 +80,42 @@
         }
     }
 
-    /// The rank of a job now, and until when it holds.
+    /// The current rank of a job, and the time until which that rank is valid.
     pub(crate) fn rank(&self, job: &Job) -> (Rank, Time) {
         let queue = self.config.queues.get(&job.sub.queue);
-        let learned = self.learned.get(&job.sub.queue);
-        let longer = learned.map_or(1.0, Learned::stretch);
-        let (rank, until) = rank(job, queue, longer, self.now);
+        let learned = self.queue_stats.get(&job.sub.queue);
+        let factor = learned.map_or(1.0, QueueStats::slowdown);
+        let (rank, until) = rank(job, queue, factor, self.now);
         match self.policy.begun {
             true => (rank, until),
-            false => (rank.without_begun(), until),
+            false => (rank.ignoring_started(), until),
         }
     }
 
-    /// A job's place in its queue; `None` if no task of it waits for a worker.
-    pub(crate) fn queued(&self, job: &Job) -> Option<QueuedJob> {
+    /// The entry of a job in the wait queue; `None` if none of its tasks waits for a worker.
+    pub(crate) fn queue_entry(&self, job: &Job) -> Option<QueuedJob> {
         if !job.is_open() || !has_free_task(job) {
             return None;
         }
         let (rank, until) = self.rank(job);
-        let (tasks, work) = free_work(job, self.admission.largest);
+        let (tasks, work) = free_work(job, self.admission.largest_worker);
         Some(QueuedJob {
             service: self.service_of(job),
             rank,
-            until: until.min(self.now.after(RANK_TTL)),
+            valid_until: until.min(self.now.after(RANK_TTL)),
             work,
             tasks,
         })
     }
 
-    /// Service whose workers run a job's tasks: as the queue says now, or as it last said.
+    /// Service whose workers run a job's tasks: the current service of its queue, or the one at
+    /// submission if the queue was removed.
     pub(crate) fn service_of(&self, job: &Job) -> ServiceName {
         let queue = self.config.queues.get(&job.sub.queue);
         queue.map_or_else(|| job.sub.service.clone(), |q| q.service.clone())
     }
 
-    /// Places what it can of a job.
+    /// Assigns as many tasks of a job as possible to workers.
     fn place_job(&mut self, id: JobId, service: &ServiceName, misses: &mut Misses) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -132,15 +135,15 @@
         service: &ServiceName,
         misses: &mut Misses,
     ) {
-        let Some(at) = self.open_step(id, turn, number, step) else {
+        let Some(pending) = self.pending_step(id, turn, number, step) else {
             return;
         };
-        let allowed = match self.permitted(at.id, service) {
+        let allowed = match self.permitted(pending.id, service) {
             Permitted::Any => None,
             Permitted::Only(workers) => Some(workers),
-            Permitted::Asked => return,
+            Permitted::Pending => return,
         };
-        let choices = self.pick_workers(&at, step, service, allowed.as_deref(), misses);
+        let choices = self.pick_workers(&pending, step, service, allowed.as_deref(), misses);
         if step.gang && choices.len() < step.count as usize {
             for choice in &choices {
                 self.workers
@@ -153,8 +156,15 @@
         }
     }
 
-    /// The tasks of a step that wait for a worker; `None` if there are none.
-    fn open_step(&self, id: JobId, turn: usize, number: usize, step: &Step) -> Option<OpenStep> {
+    /// The tasks of a step that wait for a worker; `None` if there are none, or if an earlier step
+    /// has to be done first.
+    fn pending_step(
+        &self,
+        id: JobId,
+        turn: usize,
+        number: usize,
+        step: &Step,
+    ) -> Option<PendingStep> {
         let job = self.jobs.get(&id)?;
         let at = &job.turns[turn];
         if !at.is_ready(step) || at.steps[number].is_done() {
@@ -166,64 +176,67 @@
             turn: at.number,
             step: number as u32,
         };
-        (!free.is_empty()).then_some(OpenStep { id, turn, free })
+        (!free.is_empty()).then_some(PendingStep { id, turn, free })
     }
 
-    /// Places for the step's tasks, until one has none.
+    /// Picks workers for the step's tasks and takes up their room; stops at the first task that no
+    /// worker can run.
     fn pick_workers(
         &mut self,
-        at: &OpenStep,
+        pending: &PendingStep,
         step: &Step,
         service: &ServiceName,
         allowed: Option<&[WorkerId]>,
         misses: &mut Misses,
     ) -> Vec<Choice> {
-        let Some(job) = self.jobs.get(&at.id.job) else {
+        let Some(job) = self.jobs.get(&pending.id.job) else {
             return Vec::new();
         };
-        let run = &job.turns[at.turn].steps[at.id.step as usize];
-        let mut chosen = self.begin_choices(job, run, step);
-        // What no worker has room for, none has for the rest either.
-        let plain = allowed.is_none() && step.label.is_none() && step.spread == 0;
-        for &index in &at.free {
+        let run = &job.turns[pending.turn].steps[pending.id.step as usize];
+        let mut chosen = self.new_choices(job, run, step);
+        // Without worker constraints, room that no worker has for one task is missing for the other
+        // tasks of the step too.
+        let unconstrained = allowed.is_none() && step.label.is_none() && step.spread == 0;
+        for &index in &pending.free {
             if !chosen.cap.admits(chosen.used, step.room) {
-                // The team's limit says nothing about room: another team's tasks may fit.
+                // The team is at its limit. This is not counted as a miss, as the tasks of other
+                // teams may still fit.
                 break;
             }
-            // A gang starts at once on several workers.
+            // A gang is never isolated, since it starts on several workers at once.
             let suspect = run.tasks[index].is_suspect() && !step.gang;
-            if !suspect && plain && misses.cover(step.reserved()) {
+            if !suspect && unconstrained && misses.covers(step.reserved()) {
                 misses.add(None);
                 break;
             }
             let constraints = Constraints {
                 step,
-                beside: &chosen.beside,
+                per_worker: &chosen.per_worker,
                 suspect,
                 avoid: run.tasks[index].failed_on.as_ref(),
                 rack: chosen.rack.as_deref(),
-                home: chosen.home.as_ref().filter(|_| self.policy.home),
+                affinity: chosen.affinity.as_ref().filter(|_| self.policy.home),
                 allowed,
-                due: &self.maintenance_due,
+                maintenance: &self.maintenance_due,
                 pack: self.policy.pack,
             };
             let worker = match self.place(service, &constraints) {
                 Placement::At(worker) => worker,
-                // These say nothing of room for other tasks.
+                // Neither result says anything about the room for other tasks.
                 Placement::Wait => continue,
                 Placement::Reserve(worker) => {
                     self.workers.reserve(&worker, self.now);
                     continue;
                 }
-                Placement::Nowhere => {
-                    misses.add(plain.then(|| step.reserved()));
+                Placement::NoFit => {
+                    misses.add(unconstrained.then(|| step.reserved()));
                     break;
                 }
             };
             if suspect {
                 self.workers.reserve(&worker, self.now);
             }
-            let choice = Choice::new(at.id, index, &run.tasks[index], worker);
+            let choice = Choice::new(pending.id, index, &run.tasks[index], worker);
             self.workers
                 .allocate(&choice.worker, choice.task, held(choice.run, step));
             let place = self.workers.get(&choice.worker);
@@ -232,16 +245,16 @@
         chosen.made
     }
 
-    fn begin_choices(&self, job: &Job, run: &StepRun, step: &Step) -> Choices {
+    fn new_choices(&self, job: &Job, run: &StepRun, step: &Step) -> Choices {
         let (used, cap) = self.quota(job);
         Choices {
             made: Vec::new(),
-            beside: match step.spread {
+            per_worker: match step.spread {
                 0 => Map::default(),
-                _ => beside(run),
+                _ => attempts_by_worker(run),
             },
-            rack: self.begun_rack(run, step),
-            home: self.home(job),
+            rack: self.current_rack(run, step),
+            affinity: self.affinity(job),
             used,
             cap,
         }
@@ -252,10 +265,10 @@
             return self.place_suspect(service, constraints);
         }
         let worker = pick_worker(&self.workers, service, constraints, self.now);
-        worker.map_or(Placement::Nowhere, Placement::At)
+        worker.map_or(Placement::NoFit, Placement::At)
     }
 
-    /// What a job's team has running, and its limit.
+    /// Room used by the runs of a job's team, and the team's limit.
     fn quota(&self, job: &Job) -> (Room, Cap) {
         let team = job.sub.team.as_ref();
         let used = team.map(|t| self.usage.of(t)).unwrap_or_default();
@@ -263,15 +276,15 @@
         (used, cap.map(|t| t.cap).unwrap_or_default())
     }
 
-    /// Where a job has a run already.
-    fn home(&self, job: &Job) -> Option<Affinity> {
+    /// Data centre and rack of the job's first attempt; `None` if it has none.
+    fn affinity(&self, job: &Job) -> Option<Affinity> {
         let (_, attempt) = job.attempts().next()?;
         let entry = self.workers.get(&attempt.worker)?.entry.as_ref()?;
         Some(Affinity::of(entry))
     }
 
-    /// Rack that a step which should stay on one rack has begun on.
-    fn begun_rack(&self, run: &StepRun, step: &Step) -> Option<String> {
+    /// Rack on which a step is running that should stay on a single rack.
+    fn current_rack(&self, run: &StepRun, step: &Step) -> Option<String> {
         if !step.tight {
             return None;
         }
@@ -280,7 +293,7 @@
         entry.rack().map(str::to_owned)
     }
 
-    /// Plans a run: it is ordered once the journal holds it.
+    /// Plans a run. Its start order is sent once the journal holds the run.
     fn plan(&mut self, choice: Choice, step: &Step) {
         let now = self.now;
         let Choice { task, run, worker } = choice;
@@ -290,12 +303,12 @@
         let Some(job) = self.jobs.get_mut(&task.job()) else {
             return;
         };
-        if !std::mem::replace(&mut job.begun, true) {
+        if !std::mem::replace(&mut job.ever_planned, true) {
             let waited = now.since(job.arrived).as_millis() as u64;
             log::info!(
                 job:% = task.job(), queue:% = job.sub.queue, waited_ms = waited,
                 worker:% = worker, version = self.config.version;
-                "job begins"
+                "first run of job planned"
             );
         }
         let sub = job.sub.clone();
@@ -320,6 +333,7 @@
     }
 }
 
+/// What a run of a step takes up on its worker.
 pub(crate) fn held(run: u32, step: &Step) -> Allocation {
     Allocation {
         run,
@@ -338,13 +352,15 @@
     })
 }
 
-/// Tasks of a job that have no run, and their work in thousandths of a core times milliseconds.
+/// Number of a job's tasks that have no attempt, and their work in thousandths of a core times
+/// milliseconds.
 ///
-/// What no worker can ever hold waits for nothing, and keeps nobody waiting.
-fn free_work(job: &Job, largest: Room) -> (u64, u64) {
+/// Tasks that are too large for every worker are left out: they can never start, so they do not
+/// delay other jobs.
+fn free_work(job: &Job, largest_worker: Room) -> (u64, u64) {
     let steps = job.turns.iter();
     let steps = steps.flat_map(|turn| turn.steps.iter().zip(job.sub.steps.iter()));
-    let steps = steps.filter(|(_, step)| step.reserved().fits(largest));
+    let steps = steps.filter(|(_, step)| step.reserved().fits(largest_worker));
     steps.fold((0, 0), |(tasks, work), (run, step)| {
         let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
         let each = step.room.cpu * step.estimate.get();
@@ -356,14 +372,14 @@
     let free = run.tasks.iter().enumerate().filter(|(_, t)| t.is_pending());
     let free: Vec<usize> = free.map(|(i, _)| i).collect();
     match step.gang && free.len() < run.tasks.len() {
-        // A gang starts whole: its last run has to be over first.
+        // A gang starts as a whole, so all attempts of its previous run have to be over.
         true => Vec::new(),
         false => free,
     }
 }
 
-/// Runs of a step on each worker.
-pub(crate) fn beside(run: &StepRun) -> Map<WorkerId, u32> {
+/// Number of attempts of a step on each worker.
+pub(crate) fn attempts_by_worker(run: &StepRun) -> Map<WorkerId, u32> {
     let mut found: Map<WorkerId, u32> = Map::default();
     for attempt in run.tasks.iter().flat_map(|t| &t.attempts) {
         *found.entry(attempt.worker.clone()).or_default() += 1;
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_adapter::{Instances, Keyed, Partition, STATUS_TOPIC, wave_status};
 use cactuswheel_capacity::{
-    Action, History, LastOwner, OrderRecord, Planner, Reserved, Snapshot, Times, reserved,
+    Action, History, LastOwner, OrderRecord, Planner, Reservation, Snapshot, Timings, reservations,
 };
 use cactuswheel_cell::{Cell, encode};
 use cactuswheel_model::{Map, Time};
@@ -84,7 +84,7 @@
     /// Failure: two owners order one instance within seconds of each other, and it is moved
     /// back and forth under its work. An order is on record before it is given, so what is not
     /// on record here no earlier owner has ordered.
-    reserved: Map<InstanceName, Reserved>,
+    reserved: Map<InstanceName, Reservation>,
     /// Until then no instance may be ordered.
     barred: Time,
     /// Pause after the store has turned the record of orders away.
@@ -105,8 +105,8 @@
         let addr = shared.settings.instances?;
         let service = Arc::new(Instances::new(addr));
         tokio::spawn(list(shared.clone(), service.clone(), events.clone()));
-        let times = Times {
-            maintaining: shared.settings.times.maintaining,
+        let times = Timings {
+            maintenance: shared.settings.times.maintenance,
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
@@ -116,7 +116,7 @@
         let now = shared.clock.now();
         // Nobody knows what was ordered of late: anything may have been.
         let barred = orders.is_none().then(|| now.after(wait));
-        let reserved = reserved(now, wait, orders.unwrap_or_default(), last);
+        let reserved = reservations(now, wait, orders.unwrap_or_default(), last);
         log::info!(
             instances = reserved.len() as u64, dated = last.is_some(), known = barred.is_none();
             "instances reserved"
@@ -156,10 +156,10 @@
                 let spread = rand::rng().random_range(0.0..1.0);
                 self.backoff.refused(self.shared.clock.now(), spread);
             }
-            _ => self.backoff.taken(),
+            _ => self.backoff.accepted(),
         }
         self.planner
-            .ordered(self.shared.clock.now(), name(order), outcome);
+            .record_outcome(self.shared.clock.now(), name(order), outcome);
         let Some(worker) = worker else {
             return;
         };
@@ -178,7 +178,7 @@
         }
         self.planned = now;
         // Another node may own the cell by then.
-        if !self.shared.leads() || now < self.barred || !self.backoff.is_over(now) {
+        if !self.shared.holds_ownership() || now < self.barred || !self.backoff.is_elapsed(now) {
             return;
         }
         let waves = self.shared.waves.load_full().unwrap_or_default();
@@ -203,7 +203,7 @@
         for action in self.planner.plan(&snapshot) {
             self.execute(cell, action, &mut orders);
         }
-        cell.expect_maintenance(self.planner.due());
+        cell.expect_maintenance(self.planner.maintenance_due());
         if !orders.is_empty() && self.orders.send(orders).is_err() {
             log::error!("orders to instances are carried out no more");
         }
@@ -236,18 +236,18 @@
                     },
                 });
             }
-            Action::Close { worker, evacuate } => cell.close(&worker, evacuate),
+            Action::Close { worker, evict } => cell.close(&worker, evict),
             Action::Reopen(worker) => cell.reopen(&worker),
-            Action::Began { wave } => {
+            Action::RecordWaveStart { wave } => {
                 let at = encode(&self.shared.clock.wall());
                 self.waves.write(Keyed::new(wave.to_string(), at));
             }
-            Action::Maintained { wave, instance } => {
+            Action::RecordMaintained { wave, instance } => {
                 log::info!(wave = wave, instance:% = instance; "instance maintained");
                 let key = format!("{wave}/{instance}");
                 self.maintained.write(Keyed::new(key, vec![1]));
             }
-            Action::Status { wave, complete } => {
+            Action::ReportStatus { wave, complete } => {
                 log::info!(wave = wave, complete = complete; "wave told of");
                 let (key, value) = wave_status(wave, complete);
                 self.status.write(Keyed::new(key, value));
@@ -292,7 +292,7 @@
                     order:? = given.order, token = given.token.fence, outcome:? = outcome;
                     "instance ordered"
                 );
-                let event = Event::Ordered(given.order, given.worker, outcome);
+                let event = Event::InstanceOrdered(given.order, given.worker, outcome);
                 let _ = events.send(event).await;
             });
         }
@@ -314,7 +314,7 @@
     given: &Issued,
     recorded: bool,
 ) -> InstanceOutcome {
-    let owner = !events.is_closed() && shared.leads();
+    let owner = !events.is_closed() && shared.holds_ownership();
     match recorded && owner {
         true => service.order(&given.order, &given.token, TIMEOUT).await,
         false => InstanceOutcome::Refused(NOT_RECORDED),
@@ -333,7 +333,7 @@
                     log::info!("list of instances regained");
                 }
                 let size = instances.len() * LISTED;
-                let least = shared.settings.link.time_of(size).div_f64(LIST_SHARE);
+                let least = shared.settings.link.transfer_time(size).div_f64(LIST_SHARE);
                 let least = least.max(Duration::from_secs_f64(size as f64 / LIST_RATE));
                 let same = quiet.as_ref() == Some(&instances);
                 quiet = Some(instances.clone());
--- a/crates/node/src/hand_ins.rs
+++ b/crates/node/src/hand_ins.rs
@@ -1,4 +1,4 @@
-//! Jobs that fronts hand to the owner, until the journal holds them.
+//! Jobs that front ends handed in to the owner and that are not in the journal yet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,22 +9,23 @@
 use cactuswheel_work::{JobId, Submission};
 use tokio::sync::oneshot;
 
-use crate::event::Handed;
-use crate::intake::stuck_after;
+use crate::event::HandInRequest;
+use crate::intake::stuck_timeout;
 use crate::peer::HandInAnswer;
 use crate::shared::Shared;
 
-/// Jobs that may wait for the batch under way; more only pile up while the store is away.
+/// Maximum number of jobs waiting for the journal batch in flight. More pile up only while the
+/// store is unreachable.
 const MAX_WAITING: usize = 1_024;
 
-/// Jobs that fronts hand to the owner, until the journal holds them.
+/// Jobs that front ends handed in to the owner and that are not in the journal yet.
 pub(crate) struct HandIns {
     shared: Arc<Shared>,
-    /// The cell knows nothing of these: they can be refused.
-    waiting: Vec<(Submission, Handed)>,
-    /// Whom to tell when the journal holds a job.
+    /// Jobs that were not passed to the cell yet, and can still be refused.
+    waiting: Vec<(Submission, HandInRequest)>,
+    /// Front ends waiting until a job is in the journal.
     replies: Map<JobId, Vec<oneshot::Sender<HandInAnswer>>>,
-    /// Which fronts have accepted jobs of late.
+    /// Front ends that hold the specs of recent jobs.
     origins: SpecOrigins,
 }
 
@@ -38,28 +39,29 @@
         }
     }
 
-    /// Takes a job, unless it surely cannot begin in time.
-    pub(crate) fn take(&mut self, cell: &Cell, handed: Handed) {
+    /// Queues a job, unless it certainly cannot start in time.
+    pub(crate) fn take(&mut self, cell: &Cell, request: HandInRequest) {
         if self.waiting.len() >= MAX_WAITING {
-            return answer(handed.reply, HandInAnswer::Refused);
+            return answer(request.reply, HandInAnswer::Refused);
         }
-        let sub = match decode::<Submission>(&handed.record) {
+        let sub = match decode::<Submission>(&request.record) {
             Ok(sub) => sub,
             Err(e) => {
-                log::error!(error:% = e; "submission cannot be read");
-                return answer(handed.reply, HandInAnswer::Refused);
+                log::error!(error:% = e; "cannot decode submission");
+                return answer(request.reply, HandInAnswer::Refused);
             }
         };
-        if let Some(waits) = cell.refuses(&sub) {
-            return answer(handed.reply, HandInAnswer::Overloaded(waits));
+        if let Some(waits) = cell.overload_delay(&sub) {
+            return answer(request.reply, HandInAnswer::Overloaded(waits));
         }
-        self.waiting.push((sub, handed));
+        self.waiting.push((sub, request));
     }
 
-    /// Hands the cell what waits, unless a batch is under way.
+    /// Passes the waiting jobs to the cell, unless a journal batch is in flight.
     ///
-    /// Failure: the store is away, and callers wait for their whole time to hear that nothing
-    /// was stored. What waits behind a batch that takes too long is refused at once.
+    /// Jobs that wait behind a batch that takes too long are refused at once. Otherwise, while the
+    /// store is unreachable, callers would wait until their deadline to learn that nothing was
+    /// stored.
     pub(crate) fn hand_in(&mut self, cell: &mut Cell) {
         if self.waiting.is_empty() {
             return;
@@ -68,45 +70,45 @@
         if let Some(writing) = cell.append_age(now) {
             return self.refuse_overdue(now, writing);
         }
-        for (sub, handed) in std::mem::take(&mut self.waiting) {
-            self.hand_one_in(cell, sub, handed);
+        for (sub, request) in std::mem::take(&mut self.waiting) {
+            self.hand_in_one(cell, sub, request);
         }
     }
 
     fn refuse_overdue(&mut self, now: Time, writing: Duration) {
-        let stuck = writing > stuck_after(&self.shared);
-        let over = |(_, h): &mut (Submission, Handed)| stuck || h.until <= now;
+        let stuck = writing > stuck_timeout(&self.shared);
+        let expired = |(_, h): &mut (Submission, HandInRequest)| stuck || h.until <= now;
         let mut refused = 0;
-        for (_, handed) in self.waiting.extract_if(.., over) {
-            answer(handed.reply, HandInAnswer::Refused);
+        for (_, request) in self.waiting.extract_if(.., expired) {
+            answer(request.reply, HandInAnswer::Refused);
             refused += 1;
         }
         if refused > 0 {
             let ms = writing.as_millis() as u64;
-            log::warn!(jobs = refused, writing_ms = ms; "hand-ins refused: the journal is late");
+            log::warn!(jobs = refused, writing_ms = ms; "jobs refused: journal batch is overdue");
         }
     }
 
-    fn hand_one_in(&mut self, cell: &mut Cell, sub: Submission, handed: Handed) {
+    fn hand_in_one(&mut self, cell: &mut Cell, sub: Submission, request: HandInRequest) {
         let now = self.shared.clock.now();
-        if handed.until <= now {
-            return answer(handed.reply, HandInAnswer::Refused);
+        if request.until <= now {
+            return answer(request.reply, HandInAnswer::Refused);
         }
         let id = sub.job;
-        self.origins.insert(now, id, handed.origin);
-        match cell.hand_in(now, sub.clone(), handed.record.to_vec()) {
-            HandIn::Accepted => answer(handed.reply, HandInAnswer::Accepted),
-            HandIn::Journaling => self.replies.entry(id).or_default().push(handed.reply),
-            HandIn::Busy => self.waiting.push((sub, handed)),
+        self.origins.insert(now, id, request.origin);
+        match cell.hand_in(now, sub.clone(), request.record.to_vec()) {
+            HandIn::Accepted => answer(request.reply, HandInAnswer::Accepted),
+            HandIn::Journaling => self.replies.entry(id).or_default().push(request.reply),
+            HandIn::Busy => self.waiting.push((sub, request)),
         }
     }
 
-    /// Which fronts have accepted jobs of late.
+    /// Front ends that hold the specs of recent jobs.
     pub(crate) fn origins(&mut self) -> &mut SpecOrigins {
         &mut self.origins
     }
 
-    /// The journal holds these jobs.
+    /// Notifies the front ends that these jobs are in the journal.
     pub(crate) fn accepted(&mut self, jobs: &[JobId]) {
         for reply in jobs.iter().flat_map(|id| self.replies.remove(id)).flatten() {
             answer(reply, HandInAnswer::Accepted);
@@ -114,7 +116,7 @@
     }
 }
 
-/// A front that has stopped waiting needs no answer.
+/// Sends an answer to a front end, which may have stopped waiting.
 fn answer(reply: oneshot::Sender<HandInAnswer>, answer: HandInAnswer) {
     let _ = reply.send(answer);
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,11 +1,11 @@
-//! What nodes ask the cell's owner.
+//! RPCs between nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use cactuswheel_cell::{Standing, Waits};
+use cactuswheel_cell::{Standing, StartDelay};
 use cactuswheel_relay::{Offer, Reply, SpecDigest};
 use cactuswheel_work::{JobId, JobState, NodeName, QueueName, ServiceName, TeamName};
 use futures::StreamExt;
@@ -24,83 +24,86 @@
 use crate::relay_server::RelayServer;
 use crate::shared::Shared;
 
-/// Largest frame, in bytes; a longer one ends the connection.
+/// Maximum size of a frame, in bytes. A larger frame closes the connection.
 const MAX_FRAME: usize = 256 << 10;
 
-/// Time for a connection to the owner.
+/// Timeout for connecting to another node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause after a failed `accept`, so that running out of descriptors does not spin a core.
+/// Pause after a failed `accept`, so that running out of file descriptors does not cause a busy
+/// loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time that a node waits for what a job runs: the owner may have sent it just now.
+/// How long a node that is asked for a job spec waits for it: the owner may have just sent it.
 const SPEC_WAIT: Duration = Duration::from_millis(300);
 
-/// Pause between two looks for it.
-const SPEC_PAUSE: Duration = Duration::from_millis(20);
+/// Interval at which the spec cache is polled during this wait.
+const SPEC_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where the cell's owner is.
+/// Node, address and epoch of the cell's owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct OwnerAt {
+pub(crate) struct OwnerAddress {
     pub(crate) node: NodeName,
     pub(crate) addr: SocketAddr,
     pub(crate) epoch: u64,
 }
 
-/// What the owner says of a job.
+/// Answer to a query for a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum JobAnswer {
-    /// It is known.
+    /// The job exists.
     Known {
         state: JobState,
         team: Option<TeamName>,
     },
-    /// There is no such job: the owner knows everything that was accepted.
+    /// There is no such job. The owner knows of every accepted job.
     Unknown,
-    /// Whoever was asked does not own the cell, or not yet.
+    /// The node does not own the cell, or has not finished its takeover.
     NotOwner,
 }
 
-/// What the owner says of a queue.
+/// Answer to a query for a queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum QueueAnswer {
-    /// Jobs of which no task has started.
+    /// Number of jobs of which no task has started.
     Pending(u64),
-    /// Whoever was asked does not own the cell, or not yet.
+    /// The node does not own the cell, or has not finished its takeover.
     NotOwner,
 }
 
-/// What the owner says of a job that a front has handed in.
+/// The owner's answer to a job that a front end handed in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum HandInAnswer {
-    /// The store holds it.
+    /// The job is stored.
     Accepted,
-    /// It left no trace and never will.
+    /// The job was not stored and never will be.
     Refused,
-    /// The same: it would begin too late.
-    Overloaded(Waits),
-    /// It may be accepted, now or later.
+    /// The job was not stored and never will be, because it would start too late.
+    Overloaded(StartDelay),
+    /// The outcome is unknown: the job may be accepted already, or be accepted later.
     Unknown,
 }
 
-/// Calls between nodes.
+/// RPCs between nodes.
 #[tarpc::service]
 pub(crate) trait Peer {
+    /// To the owner: the state of a job.
     async fn job(id: JobId) -> JobAnswer;
+    /// To the owner: the number of a queue's jobs that have not started.
     async fn queue(name: QueueName) -> QueueAnswer;
-    /// What the owner knows of a job, without a look at what was accepted elsewhere, and how long
-    /// a new one of its service waits; `None` from a node that is no owner.
-    async fn standing(id: JobId, service: ServiceName) -> Option<(Standing, Waits)>;
-    /// To the owner: accept this job within `limit` milliseconds.
-    /// The front at `origin` keeps what the job runs.
+    /// To the owner: what it knows of a job without reading the intake, and how long a new job of
+    /// this service would wait; `None` from a node that is not the owner.
+    async fn standing(id: JobId, service: ServiceName) -> Option<(Standing, StartDelay)>;
+    /// To the owner: accept this job within `limit` milliseconds. The front end at `origin` keeps
+    /// the job spec.
     async fn hand_in(record: Bytes, origin: SocketAddr, limit: u64) -> HandInAnswer;
-    /// What a job runs, if it is kept here.
+    /// To any node: a job spec, if the node has it.
     async fn spec(digest: SpecDigest) -> Option<Arc<str>>;
-    /// To the owner: the caller offers to relay orders, or goes on doing so.
+    /// To the owner: the caller offers to relay orders, or sends its heartbeat as a relay.
     async fn enlist(offer: Offer) -> Reply;
-    /// To a relay: send these orders to their workers. False if a newer owner's are relayed.
+    /// To a relay: send these orders to their workers. False if it serves a newer owner.
     async fn submit(request: RelayRequest) -> bool;
-    /// To the owner: what became of its orders. False if the caller is no owner any more.
+    /// To the owner: outcomes of its orders. False if the node does not own the cell any more.
     async fn report(reports: Reports) -> bool;
 }
 
@@ -109,14 +112,14 @@
 
 impl Peer for Server {
     async fn job(self, _: Context, id: JobId) -> JobAnswer {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.job(id).await,
             None => JobAnswer::NotOwner,
         }
     }
 
     async fn queue(self, _: Context, name: QueueName) -> QueueAnswer {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.queue(name).await,
             None => QueueAnswer::NotOwner,
         }
@@ -127,8 +130,8 @@
         _: Context,
         id: JobId,
         service: ServiceName,
-    ) -> Option<(Standing, Waits)> {
-        self.0.own.load_full()?.standing(id, service).await
+    ) -> Option<(Standing, StartDelay)> {
+        self.0.local_owner.load_full()?.standing(id, service).await
     }
 
     async fn hand_in(
@@ -139,25 +142,25 @@
         limit: u64,
     ) -> HandInAnswer {
         let limit = Duration::from_millis(limit);
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.hand_in(record, origin, limit).await,
             None => HandInAnswer::Refused,
         }
     }
 
     async fn spec(self, _: Context, digest: SpecDigest) -> Option<Arc<str>> {
-        let until = self.0.clock.now().after(SPEC_WAIT);
+        let deadline = self.0.clock.now().after(SPEC_WAIT);
         loop {
             let spec = self.0.specs().get(&digest);
-            if spec.is_some() || self.0.clock.now() >= until {
+            if spec.is_some() || self.0.clock.now() >= deadline {
                 return spec;
             }
-            sleep(SPEC_PAUSE).await;
+            sleep(SPEC_POLL_INTERVAL).await;
         }
     }
 
     async fn enlist(self, _: Context, offer: Offer) -> Reply {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.enlist(offer).await,
             None => Reply::NotOwner,
         }
@@ -168,14 +171,14 @@
     }
 
     async fn report(self, _: Context, reports: Reports) -> bool {
-        match self.0.own.load_full() {
+        match self.0.local_owner.load_full() {
             Some(own) => own.report(reports).await,
             None => false,
         }
     }
 }
 
-/// Answers other nodes until the task is dropped.
+/// Serves other nodes until the task is dropped.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<Shared>) {
     let relay = Arc::new(RelayServer::new(shared.clone()));
     loop {
@@ -183,7 +186,7 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        // Small answers would otherwise wait for a delayed acknowledgement.
+        // Without this, small answers wait for a delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         let framed = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME)
@@ -196,14 +199,14 @@
     }
 }
 
-/// A connection to the owner.
+/// A connection to another node.
 #[derive(Debug, Clone)]
-pub(crate) struct OwnerLink {
+pub(crate) struct PeerLink {
     pub(crate) addr: SocketAddr,
     client: PeerClient,
 }
 
-impl OwnerLink {
+impl PeerLink {
     pub(crate) async fn connect(addr: SocketAddr) -> Option<Self> {
         let connect = TcpStream::connect(addr);
         let stream = timeout(CONNECT_TIMEOUT, connect).await.ok()?.ok()?;
@@ -216,25 +219,30 @@
     }
 
     pub(crate) async fn job(&self, id: JobId, limit: Duration) -> Option<JobAnswer> {
-        self.client.job(within(limit), id).await.ok()
+        self.client.job(context_with_timeout(limit), id).await.ok()
     }
 
     pub(crate) async fn queue(&self, name: QueueName, limit: Duration) -> Option<QueueAnswer> {
-        self.client.queue(within(limit), name).await.ok()
+        self.client
+            .queue(context_with_timeout(limit), name)
+            .await
+            .ok()
     }
 
-    /// `None` if no owner answers there.
+    /// `None` if the node does not answer or is not the owner.
     pub(crate) async fn standing(
         &self,
         id: JobId,
         service: ServiceName,
         limit: Duration,
-    ) -> Option<(Standing, Waits)> {
-        let answer = self.client.standing(within(limit), id, service);
+    ) -> Option<(Standing, StartDelay)> {
+        let answer = self
+            .client
+            .standing(context_with_timeout(limit), id, service);
         answer.await.ok()?
     }
 
-    /// `None` if the answer did not come: the job may be accepted, now or later.
+    /// `None` without an answer: the job may be accepted already, or be accepted later.
     pub(crate) async fn hand_in(
         &self,
         record: Bytes,
@@ -242,29 +250,43 @@
         limit: Duration,
     ) -> Option<HandInAnswer> {
         let ms = limit.as_millis() as u64;
-        let answer = self.client.hand_in(within(limit), record, origin, ms);
+        let answer = self
+            .client
+            .hand_in(context_with_timeout(limit), record, origin, ms);
         answer.await.ok()
     }
 
-    /// `None` if it is not kept there, or no answer came.
+    /// `None` if the node does not have the spec or does not answer.
     pub(crate) async fn spec(&self, digest: SpecDigest, limit: Duration) -> Option<Arc<str>> {
-        self.client.spec(within(limit), digest).await.ok()?
+        self.client
+            .spec(context_with_timeout(limit), digest)
+            .await
+            .ok()?
     }
 
     pub(crate) async fn enlist(&self, offer: Offer, limit: Duration) -> Option<Reply> {
-        self.client.enlist(within(limit), offer).await.ok()
+        self.client
+            .enlist(context_with_timeout(limit), offer)
+            .await
+            .ok()
     }
 
     pub(crate) async fn submit(&self, request: RelayRequest, limit: Duration) -> Option<bool> {
-        self.client.submit(within(limit), request).await.ok()
+        self.client
+            .submit(context_with_timeout(limit), request)
+            .await
+            .ok()
     }
 
     pub(crate) async fn report(&self, reports: Reports, limit: Duration) -> Option<bool> {
-        self.client.report(within(limit), reports).await.ok()
+        self.client
+            .report(context_with_timeout(limit), reports)
+            .await
+            .ok()
     }
 }
 
-fn within(limit: Duration) -> Context {
+fn context_with_timeout(limit: Duration) -> Context {
     let mut context = context::current();
     context.deadline = Instant::now() + limit;
     context
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -4,7 +4,7 @@
 
 use cactuswheel_adapter::{AppendError, Item, Partition, Producer};
 use cactuswheel_capacity::{History, OrderRecord};
-use cactuswheel_cell::{BadRecord, Bounds, Cell, JobRecord, decode};
+use cactuswheel_cell::{Bounds, Cell, DecodeError, JobRecord, decode};
 use cactuswheel_model::{Millis, Time};
 use cactuswheel_work::{InstanceName, JobId, Submission};
 use futures::{StreamExt, stream};
@@ -66,7 +66,7 @@
     },
     /// A record cannot be read; going on without it would run work twice.
     #[error("journal of job {0}: {1}")]
-    Record(JobId, BadRecord),
+    Record(JobId, DecodeError),
 }
 
 /// The cell as the store knows it, and the offsets from which to follow the intake.
@@ -195,7 +195,7 @@
     let maintained = maintained.iter().filter_map(|i| read_maintained(&i.key));
     let past = History {
         maintained: maintained.collect(),
-        begun: begun.iter().filter_map(|i| read_begun(shared, i)).collect(),
+        wave_starts: begun.iter().filter_map(|i| read_begun(shared, i)).collect(),
     };
     let orders = orders.map(|items| items.iter().filter_map(read_order).collect());
     (past, orders)
@@ -292,7 +292,7 @@
     let times = &shared.settings.times;
     Bounds {
         lease: times.lease.min(LEASE),
-        retention: times.kept,
+        retention: times.retention,
         pace_delay: times.pace,
         stop_time: times.stop,
         max_batch: shared
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What a node tells operators at its metrics address.
+//! Metrics and views for operators, served at the metrics address.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 
 use crate::shared::Shared;
 
-/// Where the cell is told of.
-const CELL: &str = "/cell";
+/// Path of the cell view.
+const CELL_PATH: &str = "/cell";
 
-/// Where one job is told of; its identifier follows.
-const JOB: &str = "/cell/jobs/";
+/// Path prefix of the job view, followed by the job id.
+const JOB_PATH: &str = "/cell/jobs/";
 
-/// Answers a request at the metrics address.
+/// Answers a request at the metrics address; every path that is not a view gets the metrics.
 pub(crate) async fn answer(shared: Arc<Shared>, path: String) -> Reply {
-    if path == CELL {
+    if path == CELL_PATH {
         return cell(&shared).await;
     }
-    if let Some(id) = path.strip_prefix(JOB) {
+    if let Some(id) = path.strip_prefix(JOB_PATH) {
         return job(&shared, id).await;
     }
     match shared.metrics.text() {
@@ -32,14 +32,14 @@
 
 async fn cell(shared: &Shared) -> Reply {
     let owner = shared.owner.load_full();
-    let own = match shared.own.load_full() {
+    let own = match shared.local_owner.load_full() {
         Some(own) => own.view().await,
         None => None,
     };
     let config = shared.config.load_full();
     let body = value!({
         "node": shared.settings.node.as_str(),
-        "ready": shared.is_fresh() && !shared.is_stopping(),
+        "ready": shared.is_config_fresh() && !shared.is_stopping(),
         "config": config.map(|c| c.version),
         "config_age_ms": shared.config_age(),
         "owner": owner.as_ref().map(|o| o.node.as_str()),
@@ -51,9 +51,12 @@
 
 async fn job(shared: &Shared, id: &str) -> Reply {
     let Ok(id) = id.parse::<JobId>() else {
-        return text(StatusCode::BAD_REQUEST, "16 lower-case hexadecimal digits");
+        return text(
+            StatusCode::BAD_REQUEST,
+            "a job id is 16 lower-case hexadecimal digits",
+        );
     };
-    let Some(own) = shared.own.load_full() else {
+    let Some(own) = shared.local_owner.load_full() else {
         return text(
             StatusCode::SERVICE_UNAVAILABLE,
             "this node does not own the cell",
@@ -61,11 +64,11 @@
     };
     match own.story(id).await {
         Some(story) => json(StatusCode::OK, &story),
-        None => text(StatusCode::NOT_FOUND, "no such job"),
+        None => text(StatusCode::NOT_FOUND, "job not found"),
     }
 }
 
-/// The cell, for operators.
+/// View of the cell for operators.
 pub(crate) fn cell_view(cell: &Cell) -> Value {
     let queues = cell.queue_lengths().into_iter().map(|(name, (open, waiting))| {
         value!({ "queue": name.as_str(), "open": open, "waiting": waiting })
@@ -83,7 +86,7 @@
     value!({ "queues": sorted(queues), "pools": sorted(pools) })
 }
 
-/// One job, for operators; `None` if there is no such job.
+/// View of a job for operators; `None` if there is no such job.
 pub(crate) fn job_view(cell: &Cell, id: JobId) -> Option<Value> {
     let job = cell.job(id)?;
     let runs = job.runs.iter().map(|r| {
