--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -9,11 +9,11 @@
     /// The ownership's number, if the claim wins.
     pub epoch: u64,
     /// When it was sent.
-    pub at: Time,
+    pub sent_at: Time,
     /// No earlier owner was renewing leases any more.
-    pub alone: bool,
+    pub exclusive: bool,
     /// The owner before.
-    pub before: Option<LastOwner>,
+    pub predecessor: Option<LastOwner>,
 }
 
 /// The newest claim of a node, kept from before it is sent.
@@ -30,12 +30,12 @@
 
 impl Claims {
     /// A claim is about to be sent.
-    pub fn send(&mut self, claim: Claim) {
+    pub fn track(&mut self, claim: Claim) {
         self.newest = Some(claim);
     }
 
     /// The claim that made this ownership the node's; `None` if it never claimed it.
-    pub fn won(&self, epoch: u64) -> Option<Claim> {
+    pub fn for_epoch(&self, epoch: u64) -> Option<Claim> {
         self.newest.filter(|c| c.epoch == epoch)
     }
 }
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -20,7 +20,7 @@
 use crate::event::Event;
 use crate::journal_writer::JournalWriter;
 use crate::link_load::LinkLoad;
-use crate::order_sender::{LOOK_TIMEOUT, ORDER_TIMEOUT, OrderSender, OrderSink};
+use crate::order_sender::{ORDER_TIMEOUT, OrderSender, OrderSink, POLL_TIMEOUT};
 use crate::owner_stats::OwnerStats;
 use crate::peer_traffic::link_bytes;
 use crate::relay_client::RelayClient;
@@ -28,26 +28,26 @@
 use crate::shared::Shared;
 
 /// Pause after the policy service gave no answer: it takes one call of a node at a time.
-const ADVICE_PAUSE: Duration = Duration::from_millis(30);
+const ADVICE_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
 /// Questions to the policy service at a time. It takes one of a node after the other and turns
 /// a node away that has 32 waiting; more at once only wait there instead of here.
-const QUESTIONS: usize = 4;
+const MAX_ADVICE_CALLS: usize = 4;
 
 /// Time for an answer of the policy service beyond what it says that it takes.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time for the way to a relay and back, and for its own queue, beside the order's own limit.
-const RELAY_WAY: Duration = Duration::from_millis(700);
+const RELAY_ROUND_TRIP: Duration = Duration::from_millis(700);
 
 /// Share of the link that goes out above which orders to start leave out what the job runs.
-const LOADED_SHARE: f64 = 0.25;
+const HIGH_OUTBOUND_SHARE: f64 = 0.25;
 
 /// Share of the link that comes in above which answers queue on it.
-const FULL_SHARE: f64 = 0.6;
+const HIGH_INBOUND_SHARE: f64 = 0.6;
 
 /// Time between looks for relays that are silent and orders that are overdue.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The owner on this node, whose orders are carried out.
 #[derive(Clone)]
@@ -57,16 +57,16 @@
 }
 
 impl OrderSink for LocalOwner {
-    async fn tell(&self, report: Report) {
+    async fn deliver(&self, report: Report) {
         // With the owner gone there is nobody to tell.
         let _ = self.events.send(Event::Report(report)).await;
     }
 
-    fn is_gone(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         self.events.is_closed()
     }
 
-    fn leads(&self) -> bool {
+    fn holds_ownership(&self) -> bool {
         self.shared.leads()
     }
 }
@@ -81,21 +81,21 @@
     relays: Relays,
     clients: Map<NodeName, RelayClient>,
     /// What relays told of workers.
-    known: Known,
+    relay_polls: Known,
     sites: Map<WorkerId, Site>,
     /// Every worker's entry was told.
-    listed: bool,
-    checked: Time,
+    roster_complete: bool,
+    last_check: Time,
     stats: OwnerStats,
     /// How much of the link goes out.
-    outward: LinkLoad,
+    outbound: LinkLoad,
     /// How much of it comes in.
-    inward: LinkLoad,
+    inbound: LinkLoad,
     /// Relays are told what a job runs by its digest.
-    named: bool,
+    omit_specs: bool,
     policy: Option<Arc<PolicyService>>,
     /// Questions to the policy service that are under way.
-    questions: Arc<Semaphore>,
+    advice_slots: Arc<Semaphore>,
     tasks: TaskTracker,
 }
 
@@ -105,7 +105,7 @@
             .settings
             .policy
             .map(|a| Arc::new(PolicyService::new(a)));
-        let own = LocalOwner {
+        let sink = LocalOwner {
             shared: shared.clone(),
             events: events.clone(),
         };
@@ -113,22 +113,22 @@
         let cores = shared.settings.cores;
         Self {
             journal: JournalWriter::new(shared.clone(), events.clone(), epoch),
-            sender: OrderSender::new(shared.clone(), own),
+            sender: OrderSender::new(shared.clone(), sink),
             relays: Relays::new(Capacity::of_owner(link as f64, cores)),
             clients: Map::default(),
-            known: Known::default(),
+            relay_polls: Known::default(),
             sites: Map::default(),
-            listed: false,
-            checked: shared.clock.now(),
+            roster_complete: false,
+            last_check: shared.clock.now(),
             stats: OwnerStats::new(shared.clock.now()),
-            outward: LinkLoad::new(shared.clock.now(), link_bytes().0, LOADED_SHARE),
-            inward: LinkLoad::new(shared.clock.now(), link_bytes().1, FULL_SHARE),
-            named: false,
+            outbound: LinkLoad::new(shared.clock.now(), link_bytes().0, HIGH_OUTBOUND_SHARE),
+            inbound: LinkLoad::new(shared.clock.now(), link_bytes().1, HIGH_INBOUND_SHARE),
+            omit_specs: false,
             shared,
             events,
             epoch,
             policy,
-            questions: Arc::new(Semaphore::new(QUESTIONS)),
+            advice_slots: Arc::new(Semaphore::new(MAX_ADVICE_CALLS)),
             tasks: TaskTracker::new(),
         }
     }
@@ -142,23 +142,23 @@
                 addr,
                 look,
                 order,
-            } => self.order(worker, addr, Order::Look(look, order)),
+            } => self.send_order(worker, addr, Order::Poll(look, order)),
             Output::Start {
                 worker,
                 addr,
                 order,
-            } => self.order(worker, addr, Order::Start(order)),
+            } => self.send_order(worker, addr, Order::Start(order)),
             Output::Stop {
                 worker,
                 addr,
                 order,
-            } => self.order(worker, addr, Order::Stop(order)),
+            } => self.send_order(worker, addr, Order::Stop(order)),
             Output::Pace {
                 worker,
                 addr,
                 order,
-            } => self.order(worker, addr, Order::Pace(order)),
-            Output::Ask { step, workers } => self.ask(step, workers),
+            } => self.send_order(worker, addr, Order::Pace(order)),
+            Output::Ask { step, workers } => self.ask_advice(step, workers),
             // The owner acts on these.
             Output::Deposed { .. } | Output::Accepted(_) => {}
         }
@@ -169,8 +169,8 @@
         let now = self.shared.clock.now();
         let (sent, _) = link_bytes();
         let link = self.shared.settings.link;
-        self.named = self.outward.is_high(now, sent, link);
-        let named = self.named;
+        self.omit_specs = self.outbound.is_high(now, sent, link);
+        let omit = self.omit_specs;
         let age = self.shared.lead_age();
         for (node, client) in &mut self.clients {
             if client.is_empty() {
@@ -179,9 +179,9 @@
             if let Some(confirmed) = self.relays.confirmed(now, node, age) {
                 let addr = client.addr();
                 client.send(confirmed, |job| {
-                    let known = origins.get(&job).filter(|_| named);
+                    let known = origins.get(&job).filter(|_| omit);
                     // The next relay gets it from this one.
-                    if named && known.is_none() {
+                    if omit && known.is_none() {
                         origins.insert(now, job, addr);
                     }
                     known
@@ -191,21 +191,21 @@
     }
 
     /// The owner was at work for so long without a pause.
-    pub(crate) fn busy(&mut self, time: Duration) {
-        self.stats.busy(time);
+    pub(crate) fn add_busy(&mut self, time: Duration) {
+        self.stats.add_busy(time);
     }
 
     /// Whether so much comes in that answers may be late for that alone.
     pub(crate) fn is_link_full(&mut self) -> bool {
         let (_, received) = link_bytes();
         let now = self.shared.clock.now();
-        self.inward
+        self.inbound
             .is_high(now, received, self.shared.settings.link)
     }
 
     /// Whether most orders to start leave out what the job runs.
-    pub(crate) fn names_specs(&self) -> bool {
-        self.named && self.relays.count() > 0
+    pub(crate) fn omits_specs(&self) -> bool {
+        self.omit_specs && self.relays.count() > 0
     }
 
     /// A node offers to relay orders.
@@ -227,84 +227,84 @@
     }
 
     /// What a relay reports, as far as it is of this ownership.
-    pub(crate) fn reported(&mut self, reports: Reports) -> Vec<Report> {
+    pub(crate) fn accept_reports(&mut self, reports: Reports) -> Vec<Report> {
         if reports.epoch != self.epoch {
             return Vec::new();
         }
         let node = reports.node;
-        let mut whole = Vec::with_capacity(reports.reports.len());
+        let mut unfolded = Vec::with_capacity(reports.reports.len());
         for report in reports.reports {
-            let (worker, order) = answered(&report);
+            let (worker, order) = answered_order(&report);
             self.relays.answered(&node, worker, &order);
-            whole.push(unfold(&mut self.known, &node, report));
+            unfolded.push(unfold_poll(&mut self.relay_polls, &node, report));
         }
-        whole
+        unfolded
     }
 
     /// A relay takes no orders any more.
-    pub(crate) fn lose_relay(&mut self, node: &NodeName, why: &str) -> Vec<Report> {
+    pub(crate) fn drop_relay(&mut self, node: &NodeName, why: &str) -> Vec<Report> {
         self.clients.remove(node);
         let lost = self.relays.lose(node, why);
-        lost.into_iter().map(unknown).collect()
+        lost.into_iter().map(unknown_outcome).collect()
     }
 
     /// What is overdue by now at relays.
-    pub(crate) fn overdue(&mut self) -> Vec<Report> {
+    pub(crate) fn expire_overdue(&mut self) -> Vec<Report> {
         let now = self.shared.clock.now();
-        if now.since(self.checked) < CHECK_EVERY {
+        if now.since(self.last_check) < CHECK_INTERVAL {
             return Vec::new();
         }
-        self.checked = now;
-        if self.listed {
+        self.last_check = now;
+        if self.roster_complete {
             self.relays.expect(self.sites.len());
         }
         let lost = self.relays.overdue(now);
         let relays = &self.relays;
         self.clients.retain(|node, _| relays.addr(node).is_some());
         self.shared.metrics.relays(relays.count());
-        if let Some(percent) = self.stats.tell(now, self.relays.count()) {
+        if let Some(percent) = self.stats.log_due(now, self.relays.count()) {
             self.shared.metrics.busy(percent);
         }
-        lost.into_iter().map(unknown).collect()
+        lost.into_iter().map(unknown_outcome).collect()
     }
 
     /// A worker is listed.
-    pub(crate) fn place(&mut self, entry: &WorkerEntry) {
+    pub(crate) fn add_worker(&mut self, entry: &WorkerEntry) {
         if !self.sites.contains_key(&entry.id) {
             self.sites.insert(entry.id.clone(), Site::of(entry));
         }
     }
 
     /// Every worker's entry was told.
-    pub(crate) fn know_all(&mut self) {
-        self.listed = true;
+    pub(crate) fn mark_complete(&mut self) {
+        self.roster_complete = true;
     }
 
     /// A worker is listed no more: its connections go.
-    pub(crate) fn forget(&mut self, id: &WorkerId) {
+    pub(crate) fn remove_worker(&mut self, id: &WorkerId) {
         self.sites.remove(id);
-        self.known.forget(id);
+        self.relay_polls.forget(id);
         self.relays.forget(id);
-        self.sender.forget(id);
+        self.sender.remove_worker(id);
     }
 
-    fn order(&mut self, worker: WorkerId, addr: SocketAddr, order: Order) {
+    fn send_order(&mut self, worker: WorkerId, addr: SocketAddr, order: Order) {
         let now = self.shared.clock.now();
-        let way = self.relays.choose(now, &worker, self.sites.get(&worker));
+        let route = self.relays.choose(now, &worker, self.sites.get(&worker));
         let envelope = Envelope {
             worker,
             addr,
             order,
         };
-        let Way::Relay(node) = way else {
+        let Way::Relay(node) = route else {
             return self.sender.submit(envelope);
         };
         let Some(client) = self.clients.get_mut(&node) else {
             return self.sender.submit(envelope);
         };
-        if let Some((order, limit)) = waits_for(&envelope.order) {
+        if let Some((order, limit)) = expected_answer(&envelope.order) {
             let queued = self.shared.settings.link.queue_time();
-            let until = now.after(limit + RELAY_WAY + queued);
+            let until = now.after(limit + RELAY_ROUND_TRIP + queued);
             self.relays.sent(&node, &envelope.worker, order, until);
         }
         client.add(envelope);
@@ -312,24 +312,25 @@
 
     fn drop_submissions(&mut self, jobs: Vec<JobId>) {
         let journal = self.journal.clone();
-        self.tasks.spawn(async move { journal.forget(&jobs).await });
+        self.tasks
+            .spawn(async move { journal.clear_intake(&jobs).await });
     }
 
-    fn ask(&mut self, step: StepId, workers: Vec<WorkerId>) {
+    fn ask_advice(&mut self, step: StepId, workers: Vec<WorkerId>) {
         let events = self.events.clone();
         let Some(policy) = self.policy.clone() else {
             log::error!(step:% = step; "queue has a policy, and the settings name no service");
             return;
         };
-        let questions = self.questions.clone();
+        let slots = self.advice_slots.clone();
         self.tasks.spawn(async move {
-            let Ok(_question) = questions.acquire().await else {
+            let Ok(_slot) = slots.acquire().await else {
                 return;
             };
             let answer = policy.ask(step, &workers, ADVICE_TIMEOUT).await;
             if let Err(e) = &answer {
                 log::warn!(step:% = step, workers = workers.len() as u64, error:% = e; "no advice");
-                sleep(ADVICE_PAUSE).await;
+                sleep(ADVICE_RETRY_PAUSE).await;
             }
             let good = answer.ok().map(|a| a.good);
             let _ = events.send(Event::Advised(step, good)).await;
@@ -344,19 +345,19 @@
 
 /// What a relay owes for an order, and the time that the order itself may take. Stops are not
 /// answered: looks show what became of them.
-fn waits_for(order: &Order) -> Option<(Pending, Duration)> {
+fn expected_answer(order: &Order) -> Option<(Pending, Duration)> {
     match order {
-        Order::Look(look, order) => Some((Pending::Look(*look), order.wait + LOOK_TIMEOUT)),
+        Order::Poll(number, order) => Some((Pending::Look(*number), order.wait + POLL_TIMEOUT)),
         Order::Start(order) => Some((Pending::Start(order.task, order.run), ORDER_TIMEOUT)),
         Order::Pace(order) => Some((Pending::Pace(order.clone()), ORDER_TIMEOUT)),
         Order::Stop(_) => None,
     }
 }
 
-fn answered(report: &Report) -> (&WorkerId, Pending) {
+fn answered_order(report: &Report) -> (&WorkerId, Pending) {
     match report {
-        Report::Looked(worker, look, _) | Report::Seen(worker, look, _) => {
-            (worker, Pending::Look(*look))
+        Report::Polled(worker, number, _) | Report::Delta(worker, number, _) => {
+            (worker, Pending::Look(*number))
         }
         Report::Started(worker, task, run, _) => (worker, Pending::Start(*task, *run)),
         Report::Paced(worker, order, _) => (worker, Pending::Pace(order.clone())),
@@ -364,22 +365,22 @@
 }
 
 /// Puts back what a relay left out of a look.
-fn unfold(known: &mut Known, node: &NodeName, report: Report) -> Report {
-    let Report::Seen(worker, number, seen) = report else {
+fn unfold_poll(known: &mut Known, node: &NodeName, report: Report) -> Report {
+    let Report::Delta(worker, number, seen) = report else {
         return report;
     };
     let look = known.unfold(node, &worker, number, seen);
     let look =
         look.ok_or_else(|| LookError::Unknown("it refers to one that did not arrive".into()));
-    Report::Looked(worker, number, look)
+    Report::Polled(worker, number, look)
 }
 
-fn unknown(lost: Lost) -> Report {
+fn unknown_outcome(lost: Lost) -> Report {
     let Lost { worker, order } = lost;
     match order {
-        Pending::Look(look) => {
+        Pending::Look(number) => {
             let error = LookError::Unknown("no word of its relay".into());
-            Report::Looked(worker, look, Err(error))
+            Report::Polled(worker, number, Err(error))
         }
         Pending::Start(task, run) => Report::Started(worker, task, run, StartOutcome::Unknown),
         Pending::Pace(order) => Report::Paced(worker, order, PlainOutcome::Unknown),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -23,34 +23,34 @@
 use crate::topics::{MAINTAINED, WAVES};
 
 /// Time between plans.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between lists while something is on the way, and while nothing is.
-const LIST_BUSY: Duration = Duration::from_millis(300);
-const LIST_IDLE: Duration = Duration::from_millis(1_000);
+const BUSY_LIST_INTERVAL: Duration = Duration::from_millis(300);
+const IDLE_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Share of the link that lists of instances may take up.
 ///
 /// Failure: a list of every instance takes up a third of what the owner reads, three times a
 /// second; on a narrow link orders and renewals of the ownership wait behind it.
-const LIST_SHARE: f64 = 0.05;
+const LIST_LINK_SHARE: f64 = 0.05;
 
 /// Bytes a second that lists of instances may take whatever the link: what a list shows sooner
 /// changes little, since orders and arrivals are known without it.
-const LIST_RATE: f64 = 200_000.0;
+const MAX_LIST_RATE: f64 = 200_000.0;
 
 /// About what an instance takes up in the list, in bytes.
-const LISTED: usize = 200;
+const INSTANCE_SIZE: usize = 200;
 
 /// Longest time between lists: nothing is ordered by an older one.
-const LIST_MOST: Duration = Duration::from_millis(1_500);
+const MAX_LIST_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Time for an answer of the platform.
-const TIMEOUT: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Margin on the time for which orders to an instance have to come from one node, beside the time
 /// that an order may take from its record to its way.
-const ORDER_MARGIN: Duration = Duration::from_millis(400);
+const RESERVATION_MARGIN: Duration = Duration::from_millis(400);
 
 /// Status of an order that was not given, since it is not on record.
 const NOT_RECORDED: u16 = 0;
@@ -59,7 +59,7 @@
 const TOKEN_BITS: u32 = 20;
 
 /// Where the waves' status is told.
-const STATUS: Partition = Partition {
+const WAVE_STATUS: Partition = Partition {
     topic: STATUS_TOPIC,
     part: 0,
 };
@@ -69,7 +69,7 @@
     shared: Arc<Shared>,
     planner: Planner,
     /// Each instance has one order under way at the most, so there are never many.
-    orders: mpsc::UnboundedSender<Vec<Issued>>,
+    orders: mpsc::UnboundedSender<Vec<QueuedOrder>>,
     /// When each wave began.
     waves: RecordWriter,
     /// Instances that had their maintenance.
@@ -77,8 +77,8 @@
     /// What the operators are told of waves.
     status: RecordWriter,
     instances: Vec<Instance>,
-    listed: Time,
-    planned: Time,
+    listed_at: Time,
+    planned_at: Time,
     /// Instances that an earlier owner ordered of late: nobody else may until then.
     ///
     /// Failure: two owners order one instance within seconds of each other, and it is moved
@@ -86,65 +86,69 @@
     /// on record here no earlier owner has ordered.
     reserved: Map<InstanceName, Reserved>,
     /// Until then no instance may be ordered.
-    barred: Time,
+    blocked_until: Time,
     /// Pause after the store has turned the record of orders away.
     backoff: Backoff,
     token: u64,
 }
 
 impl Fleet {
-    /// Starts listing; `past` is what earlier owners have seen.
+    /// Starts listing; `history` is what earlier owners have seen.
     pub(crate) fn start(
         shared: Arc<Shared>,
         events: mpsc::Sender<Event>,
         epoch: u64,
-        past: History,
+        history: History,
         orders: Option<Vec<(InstanceName, OrderRecord)>>,
         last: Option<LastOwner>,
     ) -> Option<Self> {
         let addr = shared.settings.instances?;
         let service = Arc::new(Instances::new(addr));
-        tokio::spawn(list(shared.clone(), service.clone(), events.clone()));
+        tokio::spawn(list_instances(
+            shared.clone(),
+            service.clone(),
+            events.clone(),
+        ));
         let times = Times {
             maintaining: shared.settings.times.maintaining,
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
         let (ordering, queue) = mpsc::unbounded_channel();
-        tokio::spawn(order(shared.clone(), service, events.clone(), queue));
-        let wait = shared.settings.times.order.duration() + TIMEOUT + ORDER_MARGIN;
+        tokio::spawn(issue_orders(shared.clone(), service, events.clone(), queue));
+        let wait = shared.settings.times.order.duration() + CALL_TIMEOUT + RESERVATION_MARGIN;
         let now = shared.clock.now();
         // Nobody knows what was ordered of late: anything may have been.
-        let barred = orders.is_none().then(|| now.after(wait));
+        let blocked = orders.is_none().then(|| now.after(wait));
         let reserved = reserved(now, wait, orders.unwrap_or_default(), last);
         log::info!(
-            instances = reserved.len() as u64, dated = last.is_some(), known = barred.is_none();
+            instances = reserved.len() as u64, dated = last.is_some(), known = blocked.is_none();
             "instances reserved"
         );
         Some(Self {
             reserved,
-            barred: barred.unwrap_or_default(),
-            planner: Planner::new(times, past).with_policy(policy),
+            blocked_until: blocked.unwrap_or_default(),
+            planner: Planner::new(times, history).with_policy(policy),
             instances: Vec::new(),
-            listed: Time::default(),
-            planned: Time::default(),
+            listed_at: Time::default(),
+            planned_at: Time::default(),
             backoff: Backoff::default(),
             token: epoch << TOKEN_BITS,
             orders: ordering,
             waves: writer(WAVES),
             maintained: writer(MAINTAINED),
-            status: writer(STATUS),
+            status: writer(WAVE_STATUS),
             shared,
         })
     }
 
-    pub(crate) fn listed(&mut self, instances: Vec<Instance>, sent: Time) {
+    pub(crate) fn set_instances(&mut self, instances: Vec<Instance>, sent: Time) {
         self.instances = instances;
-        self.listed = sent;
+        self.listed_at = sent;
     }
 
     /// What became of an order.
-    pub(crate) fn ordered(
+    pub(crate) fn order_done(
         &mut self,
         cell: &mut Cell,
         order: &InstanceOrder,
@@ -159,7 +163,7 @@
             _ => self.backoff.taken(),
         }
         self.planner
-            .ordered(self.shared.clock.now(), name(order), outcome);
+            .ordered(self.shared.clock.now(), instance_of(order), outcome);
         let Some(worker) = worker else {
             return;
         };
@@ -173,17 +177,17 @@
     /// Plans, if it is time, and sets the plan going.
     pub(crate) fn plan(&mut self, cell: &mut Cell) {
         let now = self.shared.clock.now();
-        if now.since(self.planned) < PLAN_EVERY {
+        if now.since(self.planned_at) < PLAN_INTERVAL {
             return;
         }
-        self.planned = now;
+        self.planned_at = now;
         // Another node may own the cell by then.
-        if !self.shared.leads() || now < self.barred || !self.backoff.is_over(now) {
+        if !self.shared.leads() || now < self.blocked_until || !self.backoff.is_over(now) {
             return;
         }
         let waves = self.shared.waves.load_full().unwrap_or_default();
         let (loads, workers) = (cell.loads(), cell.workers());
-        let spare = self.spare();
+        let spare = self.spare_services();
         self.reserved.retain(|_, r| r.until > now);
         let reserved = self.reserved.iter().map(|(name, r)| (name.clone(), r.wave));
         let reserved = reserved.collect();
@@ -193,7 +197,7 @@
             loads: &loads,
             workers: &workers,
             instances: &self.instances,
-            listed: self.listed,
+            listed: self.listed_at,
             waves: &waves,
             spare: &spare,
             reserved: &reserved,
@@ -209,7 +213,7 @@
         }
     }
 
-    fn spare(&self) -> Vec<ServiceName> {
+    fn spare_services(&self) -> Vec<ServiceName> {
         let Some(config) = self.shared.config.load_full() else {
             return Vec::new();
         };
@@ -217,7 +221,7 @@
         spare.map(|s| s.name.clone()).collect()
     }
 
-    fn execute(&mut self, cell: &mut Cell, action: Action, orders: &mut Vec<Issued>) {
+    fn execute(&mut self, cell: &mut Cell, action: Action, orders: &mut Vec<QueuedOrder>) {
         match action {
             Action::Order { order, worker } => {
                 // Nothing starts there between now and the order's arrival.
@@ -227,7 +231,7 @@
                 // Each order has a token of its own: an earlier one that is carried out late is
                 // shut out by the later, and cannot take the instance back.
                 self.token += 1;
-                orders.push(Issued {
+                orders.push(QueuedOrder {
                     order,
                     worker,
                     token: OrderToken {
@@ -261,11 +265,11 @@
 /// Failure: the store takes a quarter of a second for an append, one at a time, each plan appends
 /// its own orders, and those of a queue's first second are given up unrecorded. Plans that come
 /// while an append is under way go into the next one together.
-async fn order(
+async fn issue_orders(
     shared: Arc<Shared>,
     service: Arc<Instances>,
     events: mpsc::Sender<Event>,
-    mut queue: mpsc::UnboundedReceiver<Vec<Issued>>,
+    mut queue: mpsc::UnboundedReceiver<Vec<QueuedOrder>>,
 ) {
     while let Some(mut orders) = queue.recv().await {
         while let Ok(more) = queue.try_recv() {
@@ -273,26 +277,26 @@
         }
         let (life, at) = (shared.life, shared.clock.now());
         let records = orders.iter().map(|g| {
-            let wave = wave(&g.order);
+            let wave = wave_of(&g.order);
             let record = OrderRecord { life, at, wave };
-            Keyed::new(name(&g.order).as_str(), encode(&record))
+            Keyed::new(instance_of(&g.order).as_str(), encode(&record))
         });
         let records: Vec<Keyed> = records.collect();
         let recorded = shared.orders.write(&shared.store, &records).await;
         if let Err(e) = &recorded {
             log::info!(error:% = e; "orders to instances not on record");
         }
-        for given in orders {
+        for item in orders {
             let (shared, service) = (shared.clone(), service.clone());
             let (events, recorded) = (events.clone(), recorded.is_ok());
             tokio::spawn(async move {
-                let outcome = give(&shared, &service, &events, &given, recorded).await;
+                let outcome = issue(&shared, &service, &events, &item, recorded).await;
                 shared.metrics.instance_ordered(outcome_name(outcome));
                 log::info!(
-                    order:? = given.order, token = given.token.fence, outcome:? = outcome;
+                    order:? = item.order, token = item.token.fence, outcome:? = outcome;
                     "instance ordered"
                 );
-                let event = Event::Ordered(given.order, given.worker, outcome);
+                let event = Event::Ordered(item.order, item.worker, outcome);
                 let _ = events.send(event).await;
             });
         }
@@ -300,64 +304,68 @@
 }
 
 /// An order that is to be given.
-struct Issued {
+struct QueuedOrder {
     order: InstanceOrder,
     worker: Option<WorkerId>,
     token: OrderToken,
 }
 
 /// Gives an order, unless it is not on record or this node may own the cell no more.
-async fn give(
+async fn issue(
     shared: &Shared,
     service: &Instances,
     events: &mpsc::Sender<Event>,
-    given: &Issued,
+    item: &QueuedOrder,
     recorded: bool,
 ) -> InstanceOutcome {
-    let owner = !events.is_closed() && shared.leads();
-    match recorded && owner {
-        true => service.order(&given.order, &given.token, TIMEOUT).await,
+    let is_owner = !events.is_closed() && shared.leads();
+    match recorded && is_owner {
+        true => service.order(&item.order, &item.token, CALL_TIMEOUT).await,
         false => InstanceOutcome::Refused(NOT_RECORDED),
     }
 }
 
 /// Lists instances until nobody takes the lists any more.
-async fn list(shared: Arc<Shared>, service: Arc<Instances>, events: mpsc::Sender<Event>) {
-    let mut lost = false;
-    let mut quiet: Option<Vec<Instance>> = None;
+async fn list_instances(shared: Arc<Shared>, service: Arc<Instances>, events: mpsc::Sender<Event>) {
+    let mut failing = false;
+    let mut previous: Option<Vec<Instance>> = None;
     while !events.is_closed() {
         let sent = shared.clock.now();
-        match service.list(TIMEOUT).await {
+        match service.list(CALL_TIMEOUT).await {
             Ok(instances) => {
-                if std::mem::take(&mut lost) {
+                if std::mem::take(&mut failing) {
                     log::info!("list of instances regained");
                 }
-                let size = instances.len() * LISTED;
-                let least = shared.settings.link.time_of(size).div_f64(LIST_SHARE);
-                let least = least.max(Duration::from_secs_f64(size as f64 / LIST_RATE));
-                let same = quiet.as_ref() == Some(&instances);
-                quiet = Some(instances.clone());
+                let size = instances.len() * INSTANCE_SIZE;
+                let min_pause = shared.settings.link.time_of(size).div_f64(LIST_LINK_SHARE);
+                let min_pause = min_pause.max(Duration::from_secs_f64(size as f64 / MAX_LIST_RATE));
+                let unchanged = previous.as_ref() == Some(&instances);
+                previous = Some(instances.clone());
                 let _ = events.send(Event::Instances(instances, sent)).await;
-                let pause = if same { LIST_IDLE } else { LIST_BUSY };
-                sleep(pause.max(least.min(LIST_MOST))).await;
+                let pause = if unchanged {
+                    IDLE_LIST_INTERVAL
+                } else {
+                    BUSY_LIST_INTERVAL
+                };
+                sleep(pause.max(min_pause.min(MAX_LIST_INTERVAL))).await;
             }
             Err(e) => {
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut failing, true) {
                     log::warn!(error:% = e; "list of instances lost");
                 }
-                sleep(LIST_BUSY).await;
+                sleep(BUSY_LIST_INTERVAL).await;
             }
         }
     }
 }
 
-fn name(order: &InstanceOrder) -> &InstanceName {
+fn instance_of(order: &InstanceOrder) -> &InstanceName {
     match order {
         InstanceOrder::Move { instance, .. } | InstanceOrder::Maintain { instance, .. } => instance,
     }
 }
 
-fn wave(order: &InstanceOrder) -> Option<u64> {
+fn wave_of(order: &InstanceOrder) -> Option<u64> {
     match order {
         InstanceOrder::Maintain { wave, .. } => Some(*wave),
         InstanceOrder::Move { .. } => None,
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -13,17 +13,17 @@
 use crate::appending::append;
 use crate::event::Event;
 use crate::shared::Shared;
-use crate::takeover::OWNER_NAME;
+use crate::takeover::PRODUCER_NAME;
 use crate::topics::{IntakeKey, JOURNAL, intake, part_of};
 
 /// Time for an answer when something is dropped.
-const TIMEOUT: Duration = Duration::from_millis(700);
+const DROP_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time without an answer after which the journal counts as lost.
-const LOST_AFTER: Duration = Duration::from_millis(700);
+const STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Pause before an append is repeated.
-const RETRY: Duration = Duration::from_millis(30);
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
 /// Writes the journal under one ownership; copies share its place in it.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
 }
 
 /// A newer owner writes the journal.
-struct ShutOut;
+struct Superseded;
 
 impl JournalWriter {
     pub(crate) fn new(shared: Arc<Shared>, events: mpsc::Sender<Event>, epoch: u64) -> Self {
@@ -51,7 +51,7 @@
     /// Appends a batch until it is certain, and says so.
     pub(crate) async fn append(self, batch: Batch) {
         let start = self.shared.clock.now();
-        let forgotten: Vec<JobId> = batch
+        let finished: Vec<JobId> = batch
             .records
             .iter()
             .filter(|(_, record)| record.is_none())
@@ -67,7 +67,7 @@
         let states = states.map(|(id, v)| keyed(id.to_string(), v));
         let records: Vec<Keyed> = submissions.chain(states).collect();
         // With the owner gone there is nobody to tell.
-        if let Err(ShutOut) = self.write(&records).await {
+        if let Err(Superseded) = self.write(&records).await {
             let _ = self.events.send(Event::Deposed).await;
             return;
         }
@@ -75,43 +75,43 @@
             .metrics
             .journaled(self.shared.clock.now().since(start));
         let _ = self.events.send(Event::Appended(batch.mark)).await;
-        self.forget(&forgotten).await;
+        self.clear_intake(&finished).await;
     }
 
     /// The same epoch and sequence number each time: the store does a repeat once, whatever
     /// became of the tries before.
-    async fn write(&self, records: &[Keyed]) -> Result<(), ShutOut> {
-        let mut lost = false;
+    async fn write(&self, records: &[Keyed]) -> Result<(), Superseded> {
+        let mut failing = false;
         while !self.events.is_closed() {
             let producer = Producer {
-                name: OWNER_NAME.into(),
+                name: PRODUCER_NAME.into(),
                 epoch: self.epoch,
                 seq: self.seq.load(Ordering::Acquire),
             };
-            let Some(done) = self.try_write(&producer, records, &mut lost).await else {
+            let Some(done) = self.try_write(&producer, records, &mut failing).await else {
                 // Nobody owns the cell here any more.
                 return Ok(());
             };
             match done {
                 Ok(_) => {
                     self.seq.fetch_add(1, Ordering::AcqRel);
-                    if lost {
+                    if failing {
                         log::info!(seq = producer.seq; "journal regained");
                     }
                     return Ok(());
                 }
                 Err(AppendError::Fenced) => {
                     log::warn!(epoch = self.epoch, seq = producer.seq; "journal shut this owner out");
-                    return Err(ShutOut);
+                    return Err(Superseded);
                 }
                 Err(AppendError::Sequence {
                     expected: Some(expected),
                 }) if expected < producer.seq => self.seq.store(expected, Ordering::Release),
                 Err(e) => {
-                    if !std::mem::replace(&mut lost, true) {
+                    if !std::mem::replace(&mut failing, true) {
                         log::warn!(error:% = e, seq = producer.seq; "journal lost");
                     }
-                    sleep(RETRY).await;
+                    sleep(RETRY_PAUSE).await;
                 }
             }
         }
@@ -123,14 +123,14 @@
         &self,
         producer: &Producer,
         records: &[Keyed],
-        lost: &mut bool,
+        failing: &mut bool,
     ) -> Option<Result<Appended, AppendError>> {
         let append = append(&self.shared, "journal", JOURNAL, producer, records, || {});
         tokio::pin!(append);
-        if let Ok(done) = timeout(LOST_AFTER, append.as_mut()).await {
+        if let Ok(done) = timeout(STALL_TIMEOUT, append.as_mut()).await {
             return Some(done);
         }
-        if !std::mem::replace(lost, true) {
+        if !std::mem::replace(failing, true) {
             log::warn!(seq = producer.seq; "journal lost");
         }
         tokio::select! {
@@ -140,7 +140,7 @@
     }
 
     /// Drops what the intake holds of jobs that need it no more. One that stays does no harm.
-    pub(crate) async fn forget(&self, jobs: &[JobId]) {
+    pub(crate) async fn clear_intake(&self, jobs: &[JobId]) {
         let parts = self.shared.settings.parts;
         for part in 0..parts {
             let here = jobs.iter().filter(|id| part_of(**id, parts) == part);
@@ -155,7 +155,7 @@
             return;
         }
         let store = &self.shared.store;
-        let done = store.append(intake(part), None, None, records, TIMEOUT);
+        let done = store.append(intake(part), None, None, records, DROP_TIMEOUT);
         if let Err(e) = done.await {
             log::info!(part = part, error:% = e; "finished jobs stay in the intake");
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -13,7 +13,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::election::Lead;
+use crate::election::Election;
 use crate::front::{self, Front};
 use crate::intake::Intake;
 use crate::metrics::Metrics;
@@ -52,7 +52,7 @@
     serve_others(&shared, balancer, peers, readers);
     tokio::spawn(reload(hangup, path, shared.clone()));
     tokio::spawn(owner::run(shared.clone(), roles.clone()));
-    let lead = Lead::new(shared.clone(), life, role);
+    let lead = Election::new(shared.clone(), life, role);
     let lead = tokio::spawn(lead.run(halted));
     let front = Arc::new(Front {
         intake: Intake::start(&shared, life),
@@ -73,7 +73,7 @@
     let finish = async {
         let _ = lead.await;
         if let Role::Owner { epoch, .. } = *roles.borrow() {
-            Lead::release(&shared, epoch, life).await;
+            Election::release(&shared, epoch, life).await;
         }
         sleep(LAG).await;
         stop.cancel();
@@ -102,7 +102,7 @@
     tokio::spawn(ready::serve(balancer, shared.clone()));
     tokio::spawn(peer::serve(peers, shared.clone()));
     tokio::spawn(serve_metrics(readers, shared.clone()));
-    tokio::spawn(relay_server::offer(shared.clone()));
+    tokio::spawn(relay_server::offer_relay(shared.clone()));
 }
 
 /// Waits until every request has its answer and every caller's connection is closed.
--- a/crates/node/src/order_log.rs
+++ b/crates/node/src/order_log.rs
@@ -16,10 +16,10 @@
 const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Times that a partition is read before it counts as unreadable.
-const READ_TRIES: usize = 5;
+const READ_ATTEMPTS: usize = 5;
 
 /// Pause before it is read again.
-const RETRY: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// The record of orders to instances.
 ///
@@ -30,7 +30,7 @@
 pub struct OrderLog {
     parts: u32,
     /// Partition that took the last record.
-    good: AtomicU32,
+    preferred: AtomicU32,
 }
 
 impl OrderLog {
@@ -38,27 +38,27 @@
     pub fn new(parts: u32) -> Self {
         Self {
             parts,
-            good: AtomicU32::new(0),
+            preferred: AtomicU32::new(0),
         }
     }
 
     /// Writes records to the first partition that takes them.
     pub async fn write(&self, store: &Store, records: &[Keyed]) -> Result<(), AppendError> {
-        let begun = Instant::now();
-        let first = self.good.load(Ordering::Relaxed);
+        let started = Instant::now();
+        let first = self.preferred.load(Ordering::Relaxed);
         let mut part = first;
         loop {
-            let left = WRITE_TIMEOUT.saturating_sub(begun.elapsed());
+            let left = WRITE_TIMEOUT.saturating_sub(started.elapsed());
             let done = store.append(orders(part), None, None, records, left);
             let Err(e) = done.await else {
-                self.good.store(part, Ordering::Relaxed);
+                self.preferred.store(part, Ordering::Relaxed);
                 return Ok(());
             };
             log::info!(part = part, error:% = e; "partition takes no orders");
             part = (part + 1) % self.parts;
             // One that does not answer is left for the next time, too.
-            self.good.store(part, Ordering::Relaxed);
-            if part == first || begun.elapsed() >= WRITE_TIMEOUT {
+            self.preferred.store(part, Ordering::Relaxed);
+            if part == first || started.elapsed() >= WRITE_TIMEOUT {
                 return Err(e);
             }
         }
@@ -74,17 +74,17 @@
 }
 
 async fn read_part(store: &Store, part: u32) -> Option<Vec<Item>> {
-    for _ in 0..READ_TRIES {
-        match pages(store, part).await {
+    for _ in 0..READ_ATTEMPTS {
+        match read_pages(store, part).await {
             Ok(items) => return Some(items),
             Err(e) => log::info!(part = part, error:% = e; "orders cannot be read yet"),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_PAUSE).await;
     }
     None
 }
 
-async fn pages(store: &Store, part: u32) -> Result<Vec<Item>, ReadError> {
+async fn read_pages(store: &Store, part: u32) -> Result<Vec<Item>, ReadError> {
     let mut items: Vec<Item> = Vec::new();
     loop {
         let after = items.last().map(|i| i.key.clone());
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -18,32 +18,32 @@
 
 /// Orders to one worker that are under way at a time. Two keep one lost answer from holding all
 /// others up; each takes a connection.
-const LANES: usize = 2;
+const MAX_PER_WORKER: usize = 2;
 
 /// Time that orders under way may take on the link.
 ///
 /// Failure: a new owner starts hundreds of tasks at once over a narrow link, the renewals of its
 /// ownership wait behind them for seconds, and the ownership is claimed by the next node.
-const WINDOW: Duration = Duration::from_millis(150);
+const MAX_LINK_TIME: Duration = Duration::from_millis(150);
 
 /// About what an order and its answer take up on the link, in bytes.
 const ORDER_SIZE: usize = 700;
 
 /// Least number of orders under way.
-const LEAST_ORDERS: usize = 16;
+const MIN_IN_FLIGHT: usize = 16;
 
 /// Longest wait for an answer to an order; a shorter one is learnt from how long answers take.
 pub(crate) const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest wait for an answer to a look, beyond its own wait; a shorter one is learnt.
-pub(crate) const LOOK_TIMEOUT: Duration = Duration::from_millis(600);
+pub(crate) const POLL_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Shortest wait for an answer. A node that has used up its processor stands still for a tenth
 /// of a second.
 const MIN_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Time without an order after which a worker's connections go.
-const UNUSED: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Workers that are reached before unused ones are looked for.
 const PRUNE_ABOVE: usize = 64;
@@ -51,14 +51,14 @@
 /// Where the outcome of orders is reported.
 pub(crate) trait OrderSink: Clone + Send + Sync + 'static {
     /// Tells what became of an order.
-    fn tell(&self, report: Report) -> impl Future<Output = ()> + Send;
+    fn deliver(&self, report: Report) -> impl Future<Output = ()> + Send;
 
     /// Whether nobody takes reports any more.
-    fn is_gone(&self) -> bool;
+    fn is_disconnected(&self) -> bool;
 
     /// Whether the ownership under which orders are given was confirmed so lately that nobody
     /// else can have claimed it.
-    fn leads(&self) -> bool;
+    fn holds_ownership(&self) -> bool;
 }
 
 /// Sends orders to workers, until it is dropped.
@@ -69,8 +69,8 @@
     /// Orders that may be under way.
     window: Arc<Semaphore>,
     /// How long workers' answers to orders take.
-    answers: Arc<RttEstimator>,
-    pruned: Time,
+    start_rtt: Arc<RttEstimator>,
+    last_pruned: Time,
     tasks: TaskTracker,
 }
 
@@ -78,23 +78,23 @@
 struct WorkerConn {
     addr: SocketAddr,
     orders: Arc<Orders>,
-    lanes: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
     /// Newest fencing token that any order carried; older orders are not sent any more.
     fence: Arc<AtomicU64>,
-    look: Option<AbortHandle>,
-    used: Time,
+    poll: Option<AbortHandle>,
+    last_used: Time,
 }
 
 impl<C: OrderSink> OrderSender<C> {
     pub(crate) fn new(shared: Arc<Shared>, sink: C) -> Self {
-        let orders = shared.settings.link.bytes_in(WINDOW) / ORDER_SIZE;
-        let orders = orders.clamp(LEAST_ORDERS, Semaphore::MAX_PERMITS);
+        let orders = shared.settings.link.bytes_in(MAX_LINK_TIME) / ORDER_SIZE;
+        let orders = orders.clamp(MIN_IN_FLIGHT, Semaphore::MAX_PERMITS);
         Self {
             sink,
             workers: Map::default(),
             window: Arc::new(Semaphore::new(orders)),
-            answers: Arc::new(RttEstimator::new(MIN_TIMEOUT, ORDER_TIMEOUT)),
-            pruned: shared.clock.now(),
+            start_rtt: Arc::new(RttEstimator::new(MIN_TIMEOUT, ORDER_TIMEOUT)),
+            last_pruned: shared.clock.now(),
             tasks: TaskTracker::new(),
             shared,
         }
@@ -108,7 +108,7 @@
         } = envelope;
         self.prune();
         match order {
-            Order::Look(look, order) => self.look(worker, addr, look, order),
+            Order::Poll(number, order) => self.poll(worker, addr, number, order),
             Order::Start(order) => self.start(worker, addr, order),
             Order::Stop(order) => self.stop(&worker, addr, order),
             Order::Pace(order) => self.pace(&worker, addr, order),
@@ -123,21 +123,22 @@
         let sink = self.sink.clone();
         let (task, run) = (order.task, order.run);
         let report = Report::Started(envelope.worker, task, run, StartOutcome::NotSent);
-        self.tasks.spawn(async move { sink.tell(report).await });
+        self.tasks.spawn(async move { sink.deliver(report).await });
     }
 
     /// A worker is listed no more: its connections go.
-    pub(crate) fn forget(&mut self, id: &WorkerId) {
+    pub(crate) fn remove_worker(&mut self, id: &WorkerId) {
         self.workers.remove(id);
     }
 
     fn prune(&mut self) {
         let now = self.shared.clock.now();
-        if self.workers.len() < PRUNE_ABOVE || now.since(self.pruned) < UNUSED {
+        if self.workers.len() < PRUNE_ABOVE || now.since(self.last_pruned) < IDLE_TIMEOUT {
             return;
         }
-        self.pruned = now;
-        self.workers.retain(|_, conn| now.since(conn.used) < UNUSED);
+        self.last_pruned = now;
+        self.workers
+            .retain(|_, conn| now.since(conn.last_used) < IDLE_TIMEOUT);
     }
 
     fn conn(&mut self, id: &WorkerId, addr: SocketAddr) -> &mut WorkerConn {
@@ -145,59 +146,59 @@
         let fresh = || WorkerConn {
             addr,
             orders: Arc::new(Orders::new(id.clone(), Link::new(addr))),
-            lanes: Arc::new(Semaphore::new(LANES)),
+            slots: Arc::new(Semaphore::new(MAX_PER_WORKER)),
             fence: Arc::new(AtomicU64::new(0)),
-            look: None,
-            used: now,
+            poll: None,
+            last_used: now,
         };
         let conn = self.workers.entry(id.clone()).or_insert_with(fresh);
         if conn.addr != addr {
             *conn = fresh();
         }
-        conn.used = now;
+        conn.last_used = now;
         conn
     }
 
-    fn look(&mut self, worker: WorkerId, addr: SocketAddr, look: u64, order: HoldOrder) {
+    fn poll(&mut self, worker: WorkerId, addr: SocketAddr, number: u64, order: HoldOrder) {
         let sink = self.sink.clone();
         let queued = self.shared.settings.link.queue_time();
-        let limit = (self.answers.limit() + queued).min(LOOK_TIMEOUT);
+        let limit = (self.start_rtt.limit() + queued).min(POLL_TIMEOUT);
         let conn = self.conn(&worker, addr);
         conn.fence.fetch_max(order.fence, Ordering::AcqRel);
-        if let Some(before) = conn.look.take() {
+        if let Some(before) = conn.poll.take() {
             before.abort();
         }
         let orders = conn.orders.clone();
         let task = tokio::spawn(async move {
             let answer = orders.hold(&order, limit).await;
-            sink.tell(Report::Looked(worker, look, answer)).await;
+            sink.deliver(Report::Polled(worker, number, answer)).await;
         });
-        conn.look = Some(task.abort_handle());
+        conn.poll = Some(task.abort_handle());
     }
 
     fn start(&mut self, worker: WorkerId, addr: SocketAddr, order: StartOrder) {
         let (sink, shared) = (self.sink.clone(), self.shared.clone());
-        let (window, answers) = (self.window.clone(), self.answers.clone());
+        let (window, start_rtt) = (self.window.clone(), self.start_rtt.clone());
         let conn = self.conn(&worker, addr);
-        let (orders, lanes) = (conn.orders.clone(), conn.lanes.clone());
+        let (orders, slots) = (conn.orders.clone(), conn.slots.clone());
         let fence = conn.fence.clone();
         self.tasks.spawn(async move {
-            let (Ok(_lane), Ok(_order)) = (lanes.acquire().await, window.acquire().await) else {
+            let (Ok(_slot), Ok(_order)) = (slots.acquire().await, window.acquire().await) else {
                 return;
             };
-            // An order that was overtaken would be refused; not sending it says so sooner.
-            let overtaken = fence.load(Ordering::Acquire) > order.fence || sink.is_gone();
+            // An order that was superseded would be refused; not sending it says so sooner.
+            let superseded = fence.load(Ordering::Acquire) > order.fence || sink.is_disconnected();
             // Failure: an owner is frozen with an order in hand, and wakes when another one has
             // settled that run and the worker has started anew, knowing no fencing token; the
             // task runs twice. Ownership is confirmed more often than it can be claimed.
-            let overtaken = overtaken || !sink.leads();
-            let outcome = match overtaken {
+            let superseded = superseded || !sink.holds_ownership();
+            let outcome = match superseded {
                 true => StartOutcome::NotSent,
-                false => start_within(&orders, &order, &answers).await,
+                false => send_start(&orders, &order, &start_rtt).await,
             };
             shared.metrics.ordered("start", outcome_name(outcome));
             let report = Report::Started(worker, order.task, order.run, outcome);
-            sink.tell(report).await;
+            sink.deliver(report).await;
         });
     }
 
@@ -227,7 +228,7 @@
                 percent = order.percent, outcome:? = outcome;
                 "pace ordered"
             );
-            sink.tell(Report::Paced(worker, order, outcome)).await;
+            sink.deliver(Report::Paced(worker, order, outcome)).await;
         });
     }
 }
@@ -235,20 +236,20 @@
 impl<C> Drop for OrderSender<C> {
     fn drop(&mut self) {
         for conn in self.workers.values() {
-            if let Some(look) = &conn.look {
-                look.abort();
+            if let Some(poll) = &conn.poll {
+                poll.abort();
             }
         }
     }
 }
 
 /// Orders a start, and learns from how long its answer takes.
-async fn start_within(orders: &Orders, order: &StartOrder, answers: &RttEstimator) -> StartOutcome {
+async fn send_start(orders: &Orders, order: &StartOrder, start_rtt: &RttEstimator) -> StartOutcome {
     let sent = Instant::now();
-    let outcome = orders.start(order, answers.limit()).await;
+    let outcome = orders.start(order, start_rtt.limit()).await;
     match outcome {
-        StartOutcome::Started | StartOutcome::Refused(_) => answers.answered(sent.elapsed()),
-        StartOutcome::Unknown => answers.overdue(),
+        StartOutcome::Started | StartOutcome::Refused(_) => start_rtt.answered(sent.elapsed()),
+        StartOutcome::Unknown => start_rtt.overdue(),
         StartOutcome::NotSent => {}
     }
     outcome
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -22,12 +22,12 @@
 use crate::role::Role;
 use crate::roster;
 use crate::shared::Shared;
-use crate::takeover::{TakeoverError, take_intake, take_over};
+use crate::takeover::{TakeoverError, apply_intake, take_over};
 use crate::topics::part_of;
 use crate::view::{cell_view, job_view};
 
 /// Events that may wait; each task that sends them has one or two under way.
-const QUEUE: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 /// Pause after the cell could not be taken over.
 const TAKEOVER_RETRY: Duration = Duration::from_millis(300);
@@ -44,7 +44,7 @@
         {
             let mut changed = role.clone();
             tokio::select! {
-                () = own(shared.clone(), epoch, alone, before) => {
+                () = own_cell(shared.clone(), epoch, alone, before) => {
                     // Failure: the ownership is renewed for a cell that nobody runs any more;
                     // jobs stand still and no other node takes over. Claiming it anew under
                     // the next number either takes the cell over again or shows who has it.
@@ -64,10 +64,10 @@
 }
 
 /// Owns the cell until a newer owner is met.
-async fn own(shared: Arc<Shared>, epoch: u64, alone: bool, before: Option<LastOwner>) {
-    let taken = loop {
+async fn own_cell(shared: Arc<Shared>, epoch: u64, alone: bool, before: Option<LastOwner>) {
+    let takeover = loop {
         match take_over(&shared, epoch, alone).await {
-            Ok(taken) => break taken,
+            Ok(takeover) => break takeover,
             Err(e @ TakeoverError::Deposed) => {
                 log::warn!(epoch = epoch, error:% = e; "cell not taken over");
                 return;
@@ -84,8 +84,8 @@
         }
     };
     shared.metrics.owns(epoch);
-    let (events, inbox) = mpsc::channel(QUEUE);
-    let follow = |(part, from): (usize, &u64)| {
+    let (events, inbox) = mpsc::channel(QUEUE_CAPACITY);
+    let spawn_follower = |(part, from): (usize, &u64)| {
         let (shared, events) = (shared.clone(), events.clone());
         AbortOnDrop(tokio::spawn(follow_intake(
             shared,
@@ -94,20 +94,25 @@
             *from,
         )))
     };
-    let _intake: Vec<AbortOnDrop> = taken.intake.iter().enumerate().map(follow).collect();
+    let _intake: Vec<AbortOnDrop> = takeover
+        .offsets
+        .iter()
+        .enumerate()
+        .map(spawn_follower)
+        .collect();
     let _roster = AbortOnDrop(tokio::spawn(roster::follow(shared.clone(), events.clone())));
     let owner = Owner {
         fleet: Fleet::start(
             shared.clone(),
             events.clone(),
             epoch,
-            taken.past,
-            taken.orders,
+            takeover.history,
+            takeover.orders,
             before,
         ),
         dispatcher: Dispatcher::new(shared.clone(), events.clone(), epoch),
-        cell: taken.cell,
-        reads: Reads::new(taken.intake),
+        cell: takeover.cell,
+        reads: Reads::new(takeover.offsets),
         parked: Vec::new(),
         hand_ins: HandIns::new(shared.clone()),
         events: events.clone(),
@@ -126,7 +131,7 @@
 }
 
 /// Somebody asks for a job that is not known: it may have been accepted a moment ago.
-struct Parked {
+struct ParkedQuery {
     id: JobId,
     since: Time,
     reply: oneshot::Sender<JobAnswer>,
@@ -139,7 +144,7 @@
     /// `None` where the platform has no service for instances.
     fleet: Option<Fleet>,
     reads: Reads,
-    parked: Vec<Parked>,
+    parked: Vec<ParkedQuery>,
     hand_ins: HandIns,
     events: mpsc::Sender<Event>,
 }
@@ -156,14 +161,14 @@
             let woken = Instant::now();
             let mut deposed = false;
             if let Ok(Some(event)) = first {
-                deposed |= self.take(event);
+                deposed |= self.handle_event(event);
                 while let Ok(event) = inbox.try_recv() {
-                    deposed |= self.take(event);
+                    deposed |= self.handle_event(event);
                 }
             }
-            self.take_operators();
-            for report in self.dispatcher.overdue() {
-                self.take_report(report);
+            self.apply_operators();
+            for report in self.dispatcher.expire_overdue() {
+                self.handle_report(report);
             }
             self.hand_ins.hand_in(&mut self.cell);
             self.answer_parked();
@@ -172,7 +177,7 @@
             }
             self.cell.confirmed(self.shared.lead_age());
             self.cell.link_is_full(self.dispatcher.is_link_full());
-            self.cell.name_specs(self.dispatcher.names_specs());
+            self.cell.name_specs(self.dispatcher.omits_specs());
             let outputs = self
                 .cell
                 .poll(self.shared.clock.now(), self.shared.clock.wall());
@@ -187,7 +192,7 @@
                 }
             }
             self.dispatcher.flush(self.hand_ins.origins());
-            self.dispatcher.busy(woken.elapsed());
+            self.dispatcher.add_busy(woken.elapsed());
             self.shared.metrics.tallied(self.cell.take_tallies());
             if deposed {
                 log::warn!("ownership is over: a newer owner is at work");
@@ -197,7 +202,7 @@
     }
 
     /// Takes over what the operators have written since.
-    fn take_operators(&mut self) {
+    fn apply_operators(&mut self) {
         let now = self.shared.clock.now();
         if let Some(config) = self.shared.config.load().as_ref()
             && config.version > self.cell.version()
@@ -208,27 +213,27 @@
     }
 
     /// Takes an event; true if a newer owner is at work.
-    fn take(&mut self, event: Event) -> bool {
+    fn handle_event(&mut self, event: Event) -> bool {
         let now = self.shared.clock.now();
         match event {
             Event::HandIn(handed) => self.hand_ins.take(&self.cell, handed),
-            Event::Intake(read) => self.take_records(read),
+            Event::Intake(read) => self.handle_intake(read),
             Event::IntakeRead(part) => {
                 self.reads.over(part);
                 self.answer_parked();
             }
             Event::Worker(entry) => {
-                self.dispatcher.place(&entry);
+                self.dispatcher.add_worker(&entry);
                 self.cell.list(now, entry);
             }
             Event::NoWorker(id) => {
                 self.cell.unlist(now, &id);
-                self.dispatcher.forget(&id);
+                self.dispatcher.remove_worker(&id);
             }
-            Event::Listed => self.dispatcher.know_all(),
-            Event::Report(report) => self.take_report(report),
+            Event::Listed => self.dispatcher.mark_complete(),
+            Event::Report(report) => self.handle_report(report),
             Event::Relayed(reports, reply) => {
-                self.take_relayed(reports);
+                self.handle_relayed(reports);
                 // A relay that has stopped waiting tells it again, which does no harm.
                 let _ = reply.send(true);
             }
@@ -237,35 +242,35 @@
                 let _ = reply.send(self.dispatcher.offer(offer));
             }
             Event::RelayLost(node, why) => {
-                for report in self.dispatcher.lose_relay(&node, why) {
-                    self.take_report(report);
+                for report in self.dispatcher.drop_relay(&node, why) {
+                    self.handle_report(report);
                 }
             }
             Event::Appended(mark) => self.cell.appended(now, mark),
             Event::Deposed => return true,
             Event::Instances(instances, sent) => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.listed(instances, sent);
+                    fleet.set_instances(instances, sent);
                 }
             }
             Event::Ordered(order, worker, outcome) => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.ordered(&mut self.cell, &order, worker.as_ref(), outcome);
+                    fleet.order_done(&mut self.cell, &order, worker.as_ref(), outcome);
                 }
                 if outcome == InstanceOutcome::Done
                     && let Some(worker) = &worker
                 {
-                    self.dispatcher.forget(worker);
+                    self.dispatcher.remove_worker(worker);
                 }
             }
             Event::Advised(step, good) => self.cell.advised(now, step, good),
-            Event::Ask(ask) => self.answer(ask),
+            Event::Ask(ask) => self.answer_query(ask),
         }
         false
     }
 
     /// Answers a question; whoever has stopped waiting needs no answer.
-    fn answer(&mut self, ask: Ask) {
+    fn answer_query(&mut self, ask: Ask) {
         match ask {
             Ask::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
             Ask::Standing(id, service, reply) => {
@@ -281,19 +286,19 @@
     }
 
     /// What became of an order to a worker.
-    fn take_report(&mut self, report: Report) {
+    fn handle_report(&mut self, report: Report) {
         let now = self.shared.clock.now();
         match report {
-            Report::Looked(id, look, answer) => {
+            Report::Polled(id, number, answer) => {
                 let outcome = match &answer {
                     Ok(_) => "ok",
                     Err(_) => "failed",
                 };
                 self.shared.metrics.looked(outcome);
-                self.cell.looked(now, &id, look, answer);
+                self.cell.looked(now, &id, number, answer);
             }
             // Relays' looks were made whole before.
-            Report::Seen(..) => {}
+            Report::Delta(..) => {}
             Report::Started(id, task, run, outcome) => {
                 self.cell.started(now, &id, task, run, outcome);
             }
@@ -301,21 +306,21 @@
         }
     }
 
-    fn take_relayed(&mut self, reports: Reports) {
-        for report in self.dispatcher.reported(reports) {
+    fn handle_relayed(&mut self, reports: Reports) {
+        for report in self.dispatcher.accept_reports(reports) {
             // Its relay may not have come by what the job runs.
             if let Report::Started(_, task, _, StartOutcome::NotSent) = &report {
                 self.hand_ins.origins().remove(&task.job());
             }
-            self.take_report(report);
+            self.handle_report(report);
         }
     }
 
-    fn take_records(&mut self, read: Intaken) {
+    fn handle_intake(&mut self, read: Intaken) {
         let now = self.shared.clock.now();
         for record in read.records {
             if let Some(value) = &record.value {
-                take_intake(&self.shared, &mut self.cell, now, &record.key, value);
+                apply_intake(&self.shared, &mut self.cell, now, &record.key, value);
             }
         }
         self.reads.taken(read.part, read.next, read.whole);
@@ -341,7 +346,7 @@
             },
             None if self.is_up_to_date(id, since) => JobAnswer::Unknown,
             None => {
-                self.parked.push(Parked { id, since, reply });
+                self.parked.push(ParkedQuery { id, since, reply });
                 return;
             }
         };
--- a/crates/node/src/owner_clock.rs
+++ b/crates/node/src/owner_clock.rs
@@ -11,41 +11,41 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerClock {
     /// When the newest record came, or the store came back.
-    at: Time,
+    last_heard: Time,
     /// Least difference seen between this node's clock and the owner's, in milliseconds.
-    ahead: Option<i64>,
+    min_offset: Option<i64>,
 }
 
 impl OwnerClock {
     /// Nothing was heard yet.
     pub fn new(now: Time) -> Self {
         Self {
-            at: now,
-            ahead: None,
+            last_heard: now,
+            min_offset: None,
         }
     }
 
     /// When the owner was last heard of.
-    pub fn at(&self) -> Time {
-        self.at
+    pub fn last_heard(&self) -> Time {
+        self.last_heard
     }
 
     /// Another owner's records follow: its clock is another one.
-    pub fn change(&mut self) {
-        self.ahead = None;
+    pub fn reset_offset(&mut self) {
+        self.min_offset = None;
     }
 
     /// A record was read that was sent at `clock` of its owner.
     pub fn observe(&mut self, now: Time, clock: u64) {
-        let ahead = now.get() as i64 - clock as i64;
-        let least = self.ahead.map_or(ahead, |before| before.min(ahead));
-        self.ahead = Some(least);
-        let sent = Time::new((clock as i64 + least).max(0) as u64);
-        self.at = self.at.max(sent);
+        let offset = now.get() as i64 - clock as i64;
+        let smallest = self.min_offset.map_or(offset, |before| before.min(offset));
+        self.min_offset = Some(smallest);
+        let sent = Time::new((clock as i64 + smallest).max(0) as u64);
+        self.last_heard = self.last_heard.max(sent);
     }
 
     /// The store cannot be read: time without it does not count.
-    pub fn wait(&mut self, now: Time) {
-        self.at = now;
+    pub fn skip_outage(&mut self, now: Time) {
+        self.last_heard = now;
     }
 }
--- a/crates/node/src/owner_handle.rs
+++ b/crates/node/src/owner_handle.rs
@@ -51,14 +51,14 @@
     }
 
     /// The cell, for operators; `None` if the owner is gone.
-    pub(crate) async fn view(&self) -> Option<Value> {
+    pub(crate) async fn cell_view(&self) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
         self.ask(Ask::View(reply)).await;
         answer.await.ok()
     }
 
     /// One job, for operators; `None` if there is none.
-    pub(crate) async fn story(&self, id: JobId) -> Option<Value> {
+    pub(crate) async fn job_view(&self, id: JobId) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
         self.ask(Ask::Story(id, reply)).await;
         answer.await.ok()?
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -164,7 +164,7 @@
     }
 
     async fn submit(self, _: Context, request: RelayRequest) -> bool {
-        self.1.take(request)
+        self.1.accept(request)
     }
 
     async fn report(self, _: Context, reports: Reports) -> bool {
--- a/crates/node/src/record_writer.rs
+++ b/crates/node/src/record_writer.rs
@@ -11,10 +11,10 @@
 use crate::shared::Shared;
 
 /// Time for an answer.
-const TIMEOUT: Duration = Duration::from_millis(900);
+const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Pause before records are written again.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Writes records to one partition until they are there, or until nobody owns the cell here any
 /// more.
@@ -29,9 +29,13 @@
 }
 
 impl RecordWriter {
-    pub(crate) fn start(shared: Arc<Shared>, events: mpsc::Sender<Event>, to: Partition) -> Self {
+    pub(crate) fn start(
+        shared: Arc<Shared>,
+        events: mpsc::Sender<Event>,
+        partition: Partition,
+    ) -> Self {
         let (queue, records) = mpsc::unbounded_channel();
-        tokio::spawn(write(shared, events, to, records));
+        tokio::spawn(run_writer(shared, events, partition, records));
         Self { queue }
     }
 
@@ -42,10 +46,10 @@
     }
 }
 
-async fn write(
+async fn run_writer(
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
-    to: Partition,
+    partition: Partition,
     mut queue: mpsc::UnboundedReceiver<Keyed>,
 ) {
     while let Some(first) = queue.recv().await {
@@ -53,13 +57,17 @@
         while let Ok(next) = queue.try_recv() {
             records.push(next);
         }
-        while let Err(e) = shared.store.append(to, None, None, &records, TIMEOUT).await {
+        while let Err(e) = shared
+            .store
+            .append(partition, None, None, &records, STORE_TIMEOUT)
+            .await
+        {
             if events.is_closed() {
                 return;
             }
             let count = records.len() as u64;
-            log::info!(topic = to.topic, records = count, error:% = e; "records not written yet");
-            sleep(RETRY).await;
+            log::info!(topic = partition.topic, records = count, error:% = e; "records not written yet");
+            sleep(RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/node/src/relay_client.rs
+++ b/crates/node/src/relay_client.rs
@@ -14,16 +14,16 @@
 use crate::shared::Shared;
 
 /// Time for a relay to say that it has an order.
-const TIMEOUT: Duration = Duration::from_millis(700);
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Messages to one relay that are under way at a time.
 const MAX_IN_FLIGHT: usize = 8;
 
 /// Largest message, in bytes.
-const MAX_MESSAGE: usize = 32 << 10;
+const MAX_MESSAGE_SIZE: usize = 32 << 10;
 
 /// Messages that may wait for a relay; one that is so far behind counts as lost.
-const QUEUE: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// Forwards orders to one relay, until it is dropped.
 pub(crate) struct RelayClient {
@@ -45,8 +45,8 @@
         node: NodeName,
         addr: SocketAddr,
     ) -> Self {
-        let (requests, queue) = mpsc::channel(QUEUE);
-        let limit = TIMEOUT + shared.settings.link.queue_time();
+        let (requests, queue) = mpsc::channel(QUEUE_CAPACITY);
+        let limit = SUBMIT_TIMEOUT + shared.settings.link.queue_time();
         tokio::spawn(forward(node.clone(), addr, limit, queue, events.clone()));
         Self {
             shared,
@@ -80,21 +80,21 @@
         mut origin: impl FnMut(JobId) -> Option<SocketAddr>,
     ) {
         let mut size = 0;
-        let mut part = Vec::new();
+        let mut chunk = Vec::new();
         for envelope in std::mem::take(&mut self.envelopes) {
             size += envelope.size();
-            part.push(envelope);
-            if size >= MAX_MESSAGE {
-                self.send_part(std::mem::take(&mut part), confirmed, &mut origin);
+            chunk.push(envelope);
+            if size >= MAX_MESSAGE_SIZE {
+                self.send_chunk(std::mem::take(&mut chunk), confirmed, &mut origin);
                 size = 0;
             }
         }
-        if !part.is_empty() {
-            self.send_part(part, confirmed, &mut origin);
+        if !chunk.is_empty() {
+            self.send_chunk(chunk, confirmed, &mut origin);
         }
     }
 
-    fn send_part(
+    fn send_chunk(
         &self,
         envelopes: Vec<Envelope>,
         confirmed: Time,
@@ -108,7 +108,7 @@
             specs: Vec::new(),
             envelopes,
         };
-        request.fold_specs(origin);
+        request.extract_specs(origin);
         if self.requests.try_send(request).is_err() {
             let lost = Event::RelayLost(self.node.clone(), "far behind");
             if self.events.try_send(lost).is_err() {
@@ -131,15 +131,15 @@
         let _ = events.send(lost("cannot be reached")).await;
         return;
     };
-    let lanes = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
+    let slots = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
     while let Some(request) = queue.recv().await {
-        let Ok(lane) = lanes.clone().acquire_owned().await else {
+        let Ok(slot) = slots.clone().acquire_owned().await else {
             return;
         };
         let (link, events) = (link.clone(), events.clone());
         let lost = lost("does not take its orders");
         tokio::spawn(async move {
-            let _lane = lane;
+            let _slot = slot;
             if link.submit(request, limit).await != Some(true) {
                 let _ = events.send(lost).await;
             }
--- a/crates/node/src/relay_request.rs
+++ b/crates/node/src/relay_request.rs
@@ -15,7 +15,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Order {
     /// Renew its lease and look at it, in place of any earlier look that is under way.
-    Look(u64, HoldOrder),
+    #[serde(rename = "Look")]
+    Poll(u64, HoldOrder),
     /// Start a run.
     Start(StartOrder),
     /// Stop a run.
@@ -36,9 +37,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Report {
     /// A look's outcome, by its number.
-    Looked(WorkerId, u64, Result<Look, LookError>),
+    #[serde(rename = "Looked")]
+    Polled(WorkerId, u64, Result<Look, LookError>),
     /// The same as a relay tells it, without what was told before.
-    Seen(WorkerId, u64, SeenLook),
+    #[serde(rename = "Seen")]
+    Delta(WorkerId, u64, SeenLook),
     /// A start order's outcome.
     Started(WorkerId, TaskId, u32, StartOutcome),
     /// A throttle order's outcome.
@@ -81,7 +84,7 @@
 impl RelayRequest {
     /// Names what each job runs once, however many of its tasks start; by its digest where
     /// `origin` knows a node that has it.
-    pub(crate) fn fold_specs(&mut self, mut origin: impl FnMut(JobId) -> Option<SocketAddr>) {
+    pub(crate) fn extract_specs(&mut self, mut origin: impl FnMut(JobId) -> Option<SocketAddr>) {
         let mut specs: Map<JobId, Arc<str>> = Map::default();
         for envelope in &mut self.envelopes {
             if let Order::Start(start) = &mut envelope.order {
@@ -101,7 +104,7 @@
 
     /// Puts what each job runs back into its orders, as far as it is at hand here; gives the
     /// orders for which it has to be fetched first.
-    pub(crate) fn unfold_specs(&mut self, specs: &mut SpecCache) -> Vec<Incomplete> {
+    pub(crate) fn restore_specs(&mut self, specs: &mut SpecCache) -> Vec<IncompleteOrder> {
         let sources: Map<JobId, SpecSource> = self.specs.drain(..).collect();
         for source in sources.values() {
             if let SpecSource::Text(spec) = source {
@@ -109,10 +112,10 @@
             }
         }
         let mut incomplete = Vec::new();
-        let mut whole = Vec::with_capacity(self.envelopes.len());
+        let mut complete = Vec::with_capacity(self.envelopes.len());
         for mut envelope in self.envelopes.drain(..) {
             let Order::Start(start) = &mut envelope.order else {
-                whole.push(envelope);
+                complete.push(envelope);
                 continue;
             };
             match sources.get(&start.task.job()) {
@@ -120,7 +123,7 @@
                 Some(SpecSource::Cached(digest, origin)) => match specs.get(digest) {
                     Some(spec) => start.spec = spec,
                     None => {
-                        incomplete.push(Incomplete {
+                        incomplete.push(IncompleteOrder {
                             envelope,
                             digest: *digest,
                             origin: *origin,
@@ -130,16 +133,16 @@
                 },
                 None => {}
             }
-            whole.push(envelope);
+            complete.push(envelope);
         }
-        self.envelopes = whole;
+        self.envelopes = complete;
         incomplete
     }
 }
 
 /// A start order for which what the job runs has to be fetched.
 #[derive(Debug)]
-pub(crate) struct Incomplete {
+pub(crate) struct IncompleteOrder {
     pub(crate) envelope: Envelope,
     pub(crate) digest: SpecDigest,
     /// The node that has it.
@@ -150,10 +153,10 @@
     /// About what it takes up in a request, in bytes.
     pub(crate) fn size(&self) -> usize {
         /// Names, addresses and numbers.
-        const BARE: usize = 80;
+        const ORDER_SIZE: usize = 80;
         match &self.order {
-            Order::Start(start) => BARE + start.spec.len() + start.checkpoint.len(),
-            Order::Look(..) | Order::Stop(_) | Order::Pace(_) => BARE,
+            Order::Start(start) => ORDER_SIZE + start.spec.len() + start.checkpoint.len(),
+            Order::Poll(..) | Order::Stop(_) | Order::Pace(_) => ORDER_SIZE,
         }
     }
 }
@@ -162,11 +165,11 @@
     /// About what it takes up in a message, in bytes.
     pub(crate) fn size(&self) -> usize {
         /// Names and numbers of a report, and of a row of a look.
-        const BARE: usize = 60;
+        const ROW_SIZE: usize = 60;
         match self {
-            Self::Looked(_, _, Ok(look)) => BARE * (1 + look.running.len() + look.ended.len()),
-            Self::Seen(_, _, look) => BARE * (1 + look.rows.len() + look.ended.len()),
-            Self::Looked(..) | Self::Started(..) | Self::Paced(..) => BARE,
+            Self::Polled(_, _, Ok(look)) => ROW_SIZE * (1 + look.running.len() + look.ended.len()),
+            Self::Delta(_, _, look) => ROW_SIZE * (1 + look.rows.len() + look.ended.len()),
+            Self::Polled(..) | Self::Started(..) | Self::Paced(..) => ROW_SIZE,
         }
     }
 }
--- a/crates/node/src/relay_server.rs
+++ b/crates/node/src/relay_server.rs
@@ -13,34 +13,34 @@
 
 use crate::order_sender::{OrderSender, OrderSink};
 use crate::peer::OwnerLink;
-use crate::relay_request::{Incomplete, Order, RelayRequest, Report, Reports};
+use crate::relay_request::{IncompleteOrder, Order, RelayRequest, Report, Reports};
 use crate::shared::Shared;
 use crate::spec_fetcher::SpecFetcher;
 
 /// Time between heartbeats of a relay.
-const HEARTBEAT: Duration = Duration::from_millis(400);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time between offers of a node that is not wanted, half of it up to all of it.
-const OFFER_AGAIN: Duration = Duration::from_millis(4_000);
+const OFFER_INTERVAL: Duration = Duration::from_millis(4_000);
 
 /// Wait of a node with one core before its first offer; one with less waits for longer in
 /// proportion, so that those with more capacity come first.
-const CORE_DELAY: Duration = Duration::from_millis(50);
+const SINGLE_CORE_DELAY: Duration = Duration::from_millis(50);
 
 /// Longest such wait.
-const MAX_DELAY: Duration = Duration::from_millis(800);
+const MAX_OFFER_DELAY: Duration = Duration::from_millis(800);
 
 /// Time for an answer of the owner.
-const TIMEOUT: Duration = Duration::from_millis(600);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Reports that may wait.
-const QUEUE: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 
 /// Largest message, in bytes.
-const MAX_MESSAGE: usize = 32 << 10;
+const MAX_MESSAGE_SIZE: usize = 32 << 10;
 
 /// Times that reports are told before they are left to the owner's own time limit.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// An owner on another node, as a relay knows it.
 #[derive(Clone)]
@@ -54,16 +54,16 @@
 }
 
 impl OrderSink for RemoteOwner {
-    async fn tell(&self, report: Report) {
+    async fn deliver(&self, report: Report) {
         // With another owner at work there is nobody to tell.
         let _ = self.reports.send(report).await;
     }
 
-    fn is_gone(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         self.reports.is_closed()
     }
 
-    fn leads(&self) -> bool {
+    fn holds_ownership(&self) -> bool {
         let confirmed = Time::new(self.confirmed.load(Ordering::Acquire));
         let expiry = Duration::from_millis(self.expiry.load(Ordering::Acquire));
         self.shared.clock.now().since(confirmed) < expiry
@@ -71,7 +71,7 @@
 }
 
 /// Orders of one ownership.
-struct Service {
+struct OwnerSession {
     epoch: u64,
     confirmed: Arc<AtomicU64>,
     expiry: Arc<AtomicU64>,
@@ -81,7 +81,7 @@
 /// Relays orders for an owner on another node.
 pub(crate) struct RelayServer {
     shared: Arc<Shared>,
-    service: Mutex<Option<Service>>,
+    session: Mutex<Option<OwnerSession>>,
     fetcher: SpecFetcher,
 }
 
@@ -90,87 +90,92 @@
         Self {
             fetcher: SpecFetcher::new(shared.clone()),
             shared,
-            service: Mutex::new(None),
+            session: Mutex::new(None),
         }
     }
 
     /// Takes orders; false if a newer owner's were taken before.
-    pub(crate) fn take(self: &Arc<Self>, mut request: RelayRequest) -> bool {
-        let incomplete = request.unfold_specs(&mut self.shared.specs());
-        let mut service = self.lock();
-        let newest = service.as_ref().map_or(0, |s| s.epoch);
+    pub(crate) fn accept(self: &Arc<Self>, mut request: RelayRequest) -> bool {
+        let incomplete = request.restore_specs(&mut self.shared.specs());
+        let mut session = self.lock();
+        let newest = session.as_ref().map_or(0, |s| s.epoch);
         if newest > request.epoch {
             return false;
         }
         if newest < request.epoch {
-            *service = Some(self.serve(&request));
+            *session = Some(self.start_session(&request));
         }
-        let Some(service) = service.as_mut() else {
+        let Some(session) = session.as_mut() else {
             return false;
         };
         let confirmed = request.confirmed.get();
-        service.confirmed.fetch_max(confirmed, Ordering::AcqRel);
-        service.expiry.store(request.expiry, Ordering::Release);
+        session.confirmed.fetch_max(confirmed, Ordering::AcqRel);
+        session.expiry.store(request.expiry, Ordering::Release);
         for envelope in request.envelopes {
-            service.sender.submit(envelope);
+            session.sender.submit(envelope);
         }
-        for (digest, orders) in by_digest(incomplete) {
-            tokio::spawn(self.clone().complete(request.epoch, digest, orders));
+        for (digest, orders) in group_by_digest(incomplete) {
+            tokio::spawn(self.clone().submit_fetched(request.epoch, digest, orders));
         }
         true
     }
 
     /// Submits start orders once what their jobs run was fetched.
-    async fn complete(self: Arc<Self>, epoch: u64, digest: SpecDigest, orders: Vec<Incomplete>) {
+    async fn submit_fetched(
+        self: Arc<Self>,
+        epoch: u64,
+        digest: SpecDigest,
+        orders: Vec<IncompleteOrder>,
+    ) {
         let Some(origin) = orders.first().map(|o| o.origin) else {
             return;
         };
         let spec = self.fetcher.fetch(digest, origin).await;
-        let mut service = self.lock();
+        let mut session = self.lock();
         // A newer owner settles by itself what became of these.
-        let Some(service) = service.as_mut().filter(|s| s.epoch == epoch) else {
+        let Some(session) = session.as_mut().filter(|s| s.epoch == epoch) else {
             return;
         };
         for mut order in orders {
             match (&spec, &mut order.envelope.order) {
                 (Some(spec), Order::Start(start)) => {
                     start.spec = spec.clone();
-                    service.sender.submit(order.envelope);
+                    session.sender.submit(order.envelope);
                 }
-                _ => service.sender.reject(order.envelope),
+                _ => session.sender.reject(order.envelope),
             }
         }
     }
 
-    fn serve(&self, request: &RelayRequest) -> Service {
+    fn start_session(&self, request: &RelayRequest) -> OwnerSession {
         log::info!(epoch = request.epoch, owner:% = request.owner; "orders are carried for an owner");
-        let (reports, told) = mpsc::channel(QUEUE);
+        let (reports, queue) = mpsc::channel(QUEUE_CAPACITY);
         let confirmed = Arc::new(AtomicU64::new(0));
         let expiry = Arc::new(AtomicU64::new(request.expiry));
-        let principal = RemoteOwner {
+        let sink = RemoteOwner {
             shared: self.shared.clone(),
             confirmed: confirmed.clone(),
             expiry: expiry.clone(),
             reports,
         };
-        let teller = tell(self.shared.clone(), request.epoch, request.owner, told);
-        tokio::spawn(teller);
-        Service {
+        let reporter = send_reports(self.shared.clone(), request.epoch, request.owner, queue);
+        tokio::spawn(reporter);
+        OwnerSession {
             epoch: request.epoch,
             confirmed,
             expiry,
-            sender: OrderSender::new(self.shared.clone(), principal),
+            sender: OrderSender::new(self.shared.clone(), sink),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Service>> {
-        self.service.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Option<OwnerSession>> {
+        self.session.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Orders by what their jobs run.
-fn by_digest(incomplete: Vec<Incomplete>) -> Map<SpecDigest, Vec<Incomplete>> {
-    let mut orders: Map<SpecDigest, Vec<Incomplete>> = Map::default();
+fn group_by_digest(incomplete: Vec<IncompleteOrder>) -> Map<SpecDigest, Vec<IncompleteOrder>> {
+    let mut orders: Map<SpecDigest, Vec<IncompleteOrder>> = Map::default();
     for order in incomplete {
         orders.entry(order.digest).or_default().push(order);
     }
@@ -178,23 +183,23 @@
 }
 
 /// Tells the owner what became of its orders, all that waits in one message.
-async fn tell(
+async fn send_reports(
     shared: Arc<Shared>,
     epoch: u64,
     owner: SocketAddr,
-    mut told: mpsc::Receiver<Report>,
+    mut queue: mpsc::Receiver<Report>,
 ) {
-    let limit = TIMEOUT + shared.settings.link.queue_time();
+    let limit = OWNER_TIMEOUT + shared.settings.link.queue_time();
     let mut link = None;
-    let mut known = Told::default();
-    while let Some(first) = told.recv().await {
+    let mut folded = Told::default();
+    while let Some(first) = queue.recv().await {
         let mut size = first.size();
-        let mut reports = vec![fold(&shared, &mut known, first)];
-        while size < MAX_MESSAGE
-            && let Ok(next) = told.try_recv()
+        let mut reports = vec![fold_poll(&shared, &mut folded, first)];
+        while size < MAX_MESSAGE_SIZE
+            && let Ok(next) = queue.try_recv()
         {
             size += next.size();
-            reports.push(fold(&shared, &mut known, next));
+            reports.push(fold_poll(&shared, &mut folded, next));
         }
         let message = Reports {
             epoch,
@@ -202,7 +207,7 @@
             reports,
         };
         let mut arrived = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             if link.is_none() {
                 link = OwnerLink::connect(owner).await;
             }
@@ -218,64 +223,64 @@
             }
         }
         if !arrived {
-            known.clear();
+            folded.clear();
         }
     }
 }
 
 /// Leaves out of a look what the owner was told before.
-fn fold(shared: &Shared, known: &mut Told, report: Report) -> Report {
+fn fold_poll(shared: &Shared, folded: &mut Told, report: Report) -> Report {
     match report {
-        Report::Looked(worker, number, Ok(look)) => {
-            let seen = known.fold(shared.clock.now(), &worker, number, look);
-            Report::Seen(worker, number, seen)
+        Report::Polled(worker, number, Ok(look)) => {
+            let seen = folded.fold(shared.clock.now(), &worker, number, look);
+            Report::Delta(worker, number, seen)
         }
         other => other,
     }
 }
 
 /// Offers to relay orders for whoever owns the cell, for as long as the node runs.
-pub(crate) async fn offer(shared: Arc<Shared>) {
+pub(crate) async fn offer_relay(shared: Arc<Shared>) {
     let cores = shared.settings.cores;
-    let first = CORE_DELAY.div_f64(cores).min(MAX_DELAY);
-    let mut asked = None;
+    let delay = SINGLE_CORE_DELAY.div_f64(cores).min(MAX_OFFER_DELAY);
+    let mut offered_epoch = None;
     let mut link: Option<OwnerLink> = None;
     loop {
         let Some(owner) = shared.owner.load_full() else {
-            sleep(HEARTBEAT).await;
+            sleep(HEARTBEAT_INTERVAL).await;
             continue;
         };
         if owner.node == shared.settings.node {
-            sleep(OFFER_AGAIN).await;
+            sleep(OFFER_INTERVAL).await;
             continue;
         }
-        if asked != Some(owner.epoch) {
-            asked = Some(owner.epoch);
-            sleep(first).await;
+        if offered_epoch != Some(owner.epoch) {
+            offered_epoch = Some(owner.epoch);
+            sleep(delay).await;
         }
         if link.as_ref().is_none_or(|l| l.addr != owner.addr) {
             link = OwnerLink::connect(owner.addr).await;
         }
         let reply = match &link {
-            Some(to) => to.enlist(own_offer(&shared), TIMEOUT).await,
+            Some(to) => to.enlist(build_offer(&shared), OWNER_TIMEOUT).await,
             None => None,
         };
         match reply {
-            Some(Reply::Wanted) => sleep(HEARTBEAT).await,
+            Some(Reply::Wanted) => sleep(HEARTBEAT_INTERVAL).await,
             Some(Reply::Enough) => {
                 let spread = rand::rng().random_range(0.5..1.0);
-                sleep(OFFER_AGAIN.mul_f64(spread)).await;
+                sleep(OFFER_INTERVAL.mul_f64(spread)).await;
             }
-            Some(Reply::NotOwner | Reply::NotYet) => sleep(HEARTBEAT).await,
+            Some(Reply::NotOwner | Reply::NotYet) => sleep(HEARTBEAT_INTERVAL).await,
             None => {
                 link = None;
-                sleep(HEARTBEAT).await;
+                sleep(HEARTBEAT_INTERVAL).await;
             }
         }
     }
 }
 
-fn own_offer(shared: &Shared) -> Offer {
+fn build_offer(shared: &Shared) -> Offer {
     let settings = &shared.settings;
     let link = settings.link.bytes_in(Duration::from_secs(1));
     Offer {
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -33,7 +33,7 @@
 async fn cell(shared: &Shared) -> Reply {
     let owner = shared.owner.load_full();
     let own = match shared.own.load_full() {
-        Some(own) => own.view().await,
+        Some(own) => own.cell_view().await,
         None => None,
     };
     let config = shared.config.load_full();
@@ -59,7 +59,7 @@
             "this node does not own the cell",
         );
     };
-    match own.story(id).await {
+    match own.job_view(id).await {
         Some(story) => json(StatusCode::OK, &story),
         None => text(StatusCode::NOT_FOUND, "no such job"),
     }
