--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -1,40 +1,41 @@
-//! A claim of the ownership, and what was known when it was sent.
+//! Claims of the ownership by this node.
 
 use cactuswheel_capacity::LastOwner;
 use cactuswheel_model::Time;
 
-/// A claim of the ownership, and what was known when it was sent.
+/// A claim of the ownership, with what the node knew when it sent the claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
-    /// The ownership's number, if the claim wins.
+    /// Epoch of the ownership if the claim wins.
     pub epoch: u64,
-    /// When it was sent.
+    /// When the claim was sent.
     pub sent_at: Time,
-    /// No earlier owner was renewing leases any more.
+    /// No earlier owner could still renew leases when the claim was sent.
     pub exclusive: bool,
-    /// The owner before.
+    /// The previous owner, if there was one.
     pub predecessor: Option<LastOwner>,
 }
 
-/// The newest claim of a node, kept from before it is sent.
+/// The newest claim of a node, stored before the claim is sent.
 ///
-/// Failure: the store does a claim and its answer is lost. The record that is read back says
-/// that the node owns the cell, but what it knew of the owner before was to be noted with
-/// the answer; without it every instance that was ever ordered counts as ordered just now, and
-/// none is moved for four seconds. Noted before the claim goes out, it is there whichever way the
-/// node learns that it won.
+/// The store may apply a claim whose answer is then lost. The node learns from reading the record
+/// back that it owns the cell, so storing its knowledge of the previous owner when the answer
+/// arrives would miss this case. Without that knowledge every instance that was ever ordered would
+/// count as ordered just now, and none would be moved for four seconds. Since the claim is stored
+/// before it is sent, it is available however the node learns that it won.
 #[derive(Debug, Default)]
 pub struct Claims {
     newest: Option<Claim>,
 }
 
 impl Claims {
-    /// A claim is about to be sent.
+    /// Stores a claim that is about to be sent.
     pub fn track(&mut self, claim: Claim) {
         self.newest = Some(claim);
     }
 
-    /// The claim that made this ownership the node's; `None` if it never claimed it.
+    /// Returns this node's claim for the ownership with this epoch; `None` if its newest claim was for
+    /// another epoch.
     pub fn for_epoch(&self, epoch: u64) -> Option<Claim> {
         self.newest.filter(|c| c.epoch == epoch)
     }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,4 @@
-//! Owns the cell while the store says so: feeds it what happens and carries out what it asks.
+//! The cell's event loop on its owner: feeds events to the cell and executes its outputs.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -26,13 +26,13 @@
 use crate::topics::part_of;
 use crate::view::{cell_view, job_view};
 
-/// Events that may wait; each task that sends them has one or two under way.
+/// Capacity of the event queue. Each sending task has only one or two events in flight.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// Pause after the cell could not be taken over.
+/// Pause before a failed takeover is retried.
 const TAKEOVER_RETRY: Duration = Duration::from_millis(300);
 
-/// Owns the cell whenever `role` says so.
+/// Runs the cell whenever `role` is [`Role::Owner`], until the sender of `role` is dropped.
 pub(crate) async fn run(shared: Arc<Shared>, mut role: watch::Receiver<Role>) {
     loop {
         let now = *role.borrow_and_update();
@@ -45,13 +45,14 @@
             let mut changed = role.clone();
             tokio::select! {
                 () = own_cell(shared.clone(), epoch, alone, before) => {
-                    // Failure: the ownership is renewed for a cell that nobody runs any more;
-                    // jobs stand still and no other node takes over. Claiming it anew under
-                    // the next number either takes the cell over again or shows who has it.
+                    // Without this, the node would keep renewing its ownership although it no
+                    // longer runs the cell: jobs would stall and no other node would take over.
+                    // Claiming the ownership again under the next epoch either takes the cell
+                    // over again or reveals the current owner.
                     shared.reclaim.store(true, Ordering::Release);
                 }
                 _ = changed.wait_for(|r| *r != now) => {
-                    log::warn!(epoch = epoch; "ownership is over");
+                    log::warn!(epoch = epoch; "ownership ended; stopping the cell");
                 }
             }
             shared.own.store(None);
@@ -63,22 +64,23 @@
     }
 }
 
-/// Owns the cell until a newer owner is met.
+/// Takes the cell over and runs it until a newer owner is detected, or until the cell turns out
+/// to be too large for this node.
 async fn own_cell(shared: Arc<Shared>, epoch: u64, alone: bool, before: Option<LastOwner>) {
     let takeover = loop {
         match take_over(&shared, epoch, alone).await {
             Ok(takeover) => break takeover,
             Err(e @ TakeoverError::Deposed) => {
-                log::warn!(epoch = epoch, error:% = e; "cell not taken over");
+                log::warn!(epoch = epoch, error:% = e; "takeover abandoned");
                 return;
             }
             Err(e @ TakeoverError::TooLarge { .. }) => {
-                log::error!(epoch = epoch, error:% = e; "cell not taken over: others go first");
+                log::error!(epoch = epoch, error:% = e; "takeover abandoned; leaving the cell to other nodes");
                 shared.decline();
                 return;
             }
             Err(e) => {
-                log::error!(epoch = epoch, error:% = e; "cell not taken over");
+                log::error!(epoch = epoch, error:% = e; "takeover failed; retrying");
                 sleep(TAKEOVER_RETRY).await;
             }
         }
@@ -122,6 +124,7 @@
     owner.run(inbox).await;
 }
 
+/// Aborts a task when it is dropped.
 struct AbortOnDrop(tokio::task::JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -130,29 +133,34 @@
     }
 }
 
-/// Somebody asks for a job that is not known: it may have been accepted a moment ago.
+/// A query for a job that the cell doesn't know. It is answered later, since the job may have been
+/// accepted just before the query.
 struct ParkedQuery {
     id: JobId,
+    /// When the query arrived.
     since: Time,
     reply: oneshot::Sender<JobAnswer>,
 }
 
+/// The state of a running owner.
 struct Owner {
     shared: Arc<Shared>,
     cell: Cell,
     dispatcher: Dispatcher,
-    /// `None` where the platform has no service for instances.
+    /// `None` if the settings name no instance service.
     fleet: Option<Fleet>,
+    /// How far each intake partition has been read.
     reads: Reads,
     parked: Vec<ParkedQuery>,
     hand_ins: HandIns,
     events: mpsc::Sender<Event>,
 }
 
-/// Longest time that the cell is not looked at.
+/// Longest sleep between two polls of the cell.
 const MAX_SLEEP: Duration = Duration::from_millis(100);
 
 impl Owner {
+    /// Handles events and polls the cell until a newer owner is detected.
     async fn run(mut self, mut inbox: mpsc::Receiver<Event>) {
         loop {
             let now = self.shared.clock.now();
@@ -184,7 +192,7 @@
             for output in outputs {
                 match output {
                     Output::Deposed { worker, .. } => {
-                        log::warn!(worker:% = worker; "a worker obeys a newer owner");
+                        log::warn!(worker:% = worker; "worker has seen the fencing token of a newer owner");
                         deposed = true;
                     }
                     Output::Accepted(jobs) => self.hand_ins.accepted(&jobs),
@@ -195,13 +203,13 @@
             self.dispatcher.add_busy(woken.elapsed());
             self.shared.metrics.tallied(self.cell.take_tallies());
             if deposed {
-                log::warn!("ownership is over: a newer owner is at work");
+                log::warn!("ownership ended: a newer owner is active");
                 return;
             }
         }
     }
 
-    /// Takes over what the operators have written since.
+    /// Passes the newest configuration and the evacuated zones on to the cell.
     fn apply_operators(&mut self) {
         let now = self.shared.clock.now();
         if let Some(config) = self.shared.config.load().as_ref()
@@ -212,7 +220,7 @@
         self.cell.evacuate_zones(now, &self.shared.evacuated.load());
     }
 
-    /// Takes an event; true if a newer owner is at work.
+    /// Handles an event. Returns true if it shows that a newer owner is active.
     fn handle_event(&mut self, event: Event) -> bool {
         let now = self.shared.clock.now();
         match event {
@@ -234,11 +242,11 @@
             Event::Report(report) => self.handle_report(report),
             Event::Relayed(reports, reply) => {
                 self.handle_relayed(reports);
-                // A relay that has stopped waiting tells it again, which does no harm.
+                // A relay that has stopped waiting sends its reports again, which is harmless.
                 let _ = reply.send(true);
             }
             Event::Offer(offer, reply) => {
-                // A node that has stopped waiting offers again.
+                // A node that has stopped waiting repeats its offer.
                 let _ = reply.send(self.dispatcher.offer(offer));
             }
             Event::RelayLost(node, why) => {
@@ -269,7 +277,7 @@
         false
     }
 
-    /// Answers a question; whoever has stopped waiting needs no answer.
+    /// Answers a query. Failed sends are ignored: the caller has stopped waiting.
     fn answer_query(&mut self, ask: Ask) {
         match ask {
             Ask::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
@@ -285,7 +293,7 @@
         }
     }
 
-    /// What became of an order to a worker.
+    /// Passes the outcome of an order to a worker on to the cell.
     fn handle_report(&mut self, report: Report) {
         let now = self.shared.clock.now();
         match report {
@@ -297,7 +305,7 @@
                 self.shared.metrics.looked(outcome);
                 self.cell.looked(now, &id, number, answer);
             }
-            // Relays' looks were made whole before.
+            // The dispatcher has already expanded the poll deltas of relays.
             Report::Delta(..) => {}
             Report::Started(id, task, run, outcome) => {
                 self.cell.started(now, &id, task, run, outcome);
@@ -306,9 +314,11 @@
         }
     }
 
+    /// Handles the reports of a relay.
     fn handle_relayed(&mut self, reports: Reports) {
         for report in self.dispatcher.accept_reports(reports) {
-            // Its relay may not have come by what the job runs.
+            // The relay may have failed to fetch the job's spec, so send the full spec
+            // next time.
             if let Report::Started(_, task, _, StartOutcome::NotSent) = &report {
                 self.hand_ins.origins().remove(&task.job());
             }
@@ -316,6 +326,7 @@
         }
     }
 
+    /// Takes records read from the intake into the cell.
     fn handle_intake(&mut self, read: Intaken) {
         let now = self.shared.clock.now();
         for record in read.records {
@@ -327,6 +338,7 @@
         self.answer_parked();
     }
 
+    /// Tries again to answer the parked queries.
     fn answer_parked(&mut self) {
         for parked in std::mem::take(&mut self.parked) {
             if !parked.reply.is_closed() {
@@ -335,9 +347,10 @@
         }
     }
 
-    /// Says that there is no such job only when everything is known that was accepted before
-    /// the question came: by fronts, in the intake, and by a newer owner, which there was none of
-    /// when the ownership was confirmed since.
+    /// Answers a query for a job, or parks it. The answer is [`JobAnswer::Unknown`] only if the
+    /// cell knows every job accepted before the query arrived at `since`: the intake has been read
+    /// up to a later time, which covers the jobs that fronts accepted, and the ownership has been
+    /// confirmed since, which rules out that a newer owner accepted any.
     fn answer_job(&mut self, id: JobId, since: Time, reply: oneshot::Sender<JobAnswer>) {
         let answer = match self.cell.state(id) {
             Some(state) => JobAnswer::Known {
@@ -350,12 +363,12 @@
                 return;
             }
         };
-        // Whoever has stopped waiting needs no answer.
+        // A failed send means that the caller has stopped waiting.
         let _ = reply.send(answer);
     }
 
-    /// Whether every job of this one's partition is known that was accepted before `since`; sees
-    /// to it that it will be.
+    /// Whether the cell knows every job accepted before `since` in the intake partition of `id`.
+    /// If not, starts a read of that partition where one is needed.
     fn is_up_to_date(&mut self, id: JobId, since: Time) -> bool {
         if !self.shared.led_since(since) {
             return false;
--- a/crates/node/src/owner_clock.rs
+++ b/crates/node/src/owner_clock.rs
@@ -1,23 +1,24 @@
-//! When the owner's records were written, as far as a node can tell.
+//! Estimates when the owner's records were written, in terms of this node's clock.
 
 use cactuswheel_model::Time;
 
-/// Dates the owner's records on this node's clock.
+/// Converts the send times of the owner's records to this node's clock.
 ///
-/// A record names the owner's steady clock when it was sent. The two clocks have nothing in
-/// common but their pace; of all records that were read, the one that came quickest ties them
-/// together. So a node that reads several renewals at once knows how old the newest is, and
-/// takes an ownership over as soon as one that reads each of them.
+/// Each record carries the owner's monotonic clock at the time of sending. The two clocks run at
+/// the same rate but have unrelated origins, so their offset is estimated from the record with the
+/// lowest observed latency. A node that reads several renewals at once therefore knows the age of
+/// the newest one, and detects an expired ownership as early as a node that reads every renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerClock {
-    /// When the newest record came, or the store came back.
+    /// Estimated send time of the newest record, or the time of the last failed read if that is
+    /// later.
     last_heard: Time,
-    /// Least difference seen between this node's clock and the owner's, in milliseconds.
+    /// Smallest difference observed between this node's clock and the owner's, in milliseconds.
     min_offset: Option<i64>,
 }
 
 impl OwnerClock {
-    /// Nothing was heard yet.
+    /// Creates a clock that counts the owner as heard from at `now`.
     pub fn new(now: Time) -> Self {
         Self {
             last_heard: now,
@@ -25,17 +26,18 @@
         }
     }
 
-    /// When the owner was last heard of.
+    /// When the owner was last heard from, on this node's clock.
     pub fn last_heard(&self) -> Time {
         self.last_heard
     }
 
-    /// Another owner's records follow: its clock is another one.
+    /// Discards the offset estimate, since the records that follow come from another owner.
     pub fn reset_offset(&mut self) {
         self.min_offset = None;
     }
 
-    /// A record was read that was sent at `clock` of its owner.
+    /// Processes a record read at `now` whose owner sent it at `clock` on its own clock, in
+    /// milliseconds.
     pub fn observe(&mut self, now: Time, clock: u64) {
         let offset = now.get() as i64 - clock as i64;
         let smallest = self.min_offset.map_or(offset, |before| before.min(offset));
@@ -44,7 +46,8 @@
         self.last_heard = self.last_heard.max(sent);
     }
 
-    /// The store cannot be read: time without it does not count.
+    /// Processes a failed read at `now`: time without the store does not count as silence of the
+    /// owner.
     pub fn skip_outage(&mut self, now: Time) {
         self.last_heard = now;
     }
--- a/crates/node/src/owner_handle.rs
+++ b/crates/node/src/owner_handle.rs
@@ -1,4 +1,4 @@
-//! How other tasks of a node reach its owner.
+//! Handle to the owner running on this node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,31 +15,35 @@
 use crate::peer::{HandInAnswer, JobAnswer, QueueAnswer};
 use crate::relay_request::Reports;
 
-/// How other tasks reach the owner on this node.
+/// Handle through which other tasks send events and queries to the owner on this node.
 #[derive(Debug)]
 pub(crate) struct OwnerHandle {
     pub(crate) events: mpsc::Sender<Event>,
 }
 
 impl OwnerHandle {
-    /// Without an owner the question is dropped, and whoever waits for the answer hears of it.
+    /// Sends a query to the owner. If the owner is gone, the query is dropped along with its reply
+    /// channel, so the caller's receiver fails at once.
     async fn ask(&self, ask: Ask) {
         let _ = self.events.send(Event::Ask(ask)).await;
     }
 
+    /// Looks up the state of a job.
     pub(crate) async fn job(&self, id: JobId) -> JobAnswer {
         let (reply, answer) = oneshot::channel();
         self.ask(Ask::Job(id, reply)).await;
         answer.await.unwrap_or(JobAnswer::NotOwner)
     }
 
+    /// Looks up the number of pending jobs of a queue.
     pub(crate) async fn queue(&self, name: QueueName) -> QueueAnswer {
         let (reply, answer) = oneshot::channel();
         self.ask(Ask::Queue(name, reply)).await;
         answer.await.unwrap_or(QueueAnswer::NotOwner)
     }
 
-    /// `None` if the owner is gone.
+    /// Returns what the cell knows of a job, and how long new jobs of `service` wait; `None` if the
+    /// owner is gone.
     pub(crate) async fn standing(
         &self,
         id: JobId,
@@ -50,20 +54,22 @@
         answer.await.ok()
     }
 
-    /// The cell, for operators; `None` if the owner is gone.
+    /// Returns the operators' view of the cell as JSON; `None` if the owner is gone.
     pub(crate) async fn cell_view(&self) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
         self.ask(Ask::View(reply)).await;
         answer.await.ok()
     }
 
-    /// One job, for operators; `None` if there is none.
+    /// Returns the operators' view of a job as JSON; `None` if the owner doesn't know the job or is
+    /// gone.
     pub(crate) async fn job_view(&self, id: JobId) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
         self.ask(Ask::Story(id, reply)).await;
         answer.await.ok()?
     }
 
+    /// Passes on a node's offer to relay orders.
     pub(crate) async fn enlist(&self, offer: Offer) -> Reply {
         let (reply, answer) = oneshot::channel();
         if self.events.send(Event::Offer(offer, reply)).await.is_err() {
@@ -72,7 +78,8 @@
         answer.await.unwrap_or(Reply::NotOwner)
     }
 
-    /// Without an answer the job may be in a batch that is under way.
+    /// Hands a job in for acceptance within `limit`. Returns [`HandInAnswer::Unknown`] if the owner
+    /// ends without an answer: the job may be in a journal batch that is in flight.
     pub(crate) async fn hand_in(
         &self,
         record: Bytes,
@@ -93,7 +100,7 @@
         answer.await.unwrap_or(HandInAnswer::Unknown)
     }
 
-    /// False if the owner is gone.
+    /// Passes on the reports of a relay. Returns false if the owner is gone.
     pub(crate) async fn report(&self, reports: Reports) -> bool {
         let (reply, answer) = oneshot::channel();
         let sent = self.events.send(Event::Relayed(reports, reply)).await;
--- a/crates/node/src/owner_stats.rs
+++ b/crates/node/src/owner_stats.rs
@@ -1,4 +1,4 @@
-//! Says what an owner takes of its link and processor.
+//! Logs how much of its network link and processor an owner uses.
 
 use std::time::Duration;
 
@@ -6,20 +6,22 @@
 
 use crate::peer_traffic::link_use;
 
-/// Time between two lines.
+/// Interval between log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Says what an owner takes of its link and processor, a line every five seconds.
+/// Logs an owner's network traffic and busy time, one line every five seconds.
 #[derive(Debug)]
 pub(crate) struct OwnerStats {
+    /// When the last line was logged.
     logged: Time,
-    /// Time at work since then.
+    /// Busy time since then.
     busy: Duration,
-    /// Bytes out and in by kind of call, as of then.
+    /// Bytes sent and received by kind of call, as of that line.
     totals: Map<&'static str, (u64, u64)>,
 }
 
 impl OwnerStats {
+    /// Starts counting at `now`.
     pub(crate) fn new(now: Time) -> Self {
         let totals = link_use().map(|t| (t.kind, (t.sent, t.received)));
         Self {
@@ -29,12 +31,13 @@
         }
     }
 
-    /// The owner was at work for so long without a pause.
+    /// Adds time that the owner spent in one iteration of its event loop.
     pub(crate) fn add_busy(&mut self, time: Duration) {
         self.busy += time;
     }
 
-    /// Writes the line, if it is time; gives the share of time at work, in percent.
+    /// Logs a line if one is due, and returns the share of busy time since the last one, in
+    /// percent.
     pub(crate) fn log_due(&mut self, now: Time, relays: usize) -> Option<u64> {
         let passed = now.since(self.logged);
         if passed < LOG_INTERVAL {
@@ -66,7 +69,7 @@
         log::info!(
             busy_percent = percent, sent_per_s = outbound, received_per_s = inbound,
             relays = relays as u64, by = busiest.join(", ");
-            "owner's calls"
+            "owner load"
         );
         Some(percent)
     }
--- a/crates/node/src/ownership.rs
+++ b/crates/node/src/ownership.rs
@@ -1,27 +1,29 @@
-//! The record of who owns the cell.
+//! The record of the cell's owner.
 
 use std::net::SocketAddr;
 
 use cactuswheel_work::NodeName;
 use serde::{Deserialize, Serialize};
 
-/// Who owns the cell, as it stands in the store.
+/// The ownership record in the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Ownership {
-    /// Rises with each change of owners.
+    /// Increases with each claim.
     pub(crate) epoch: u64,
+    /// The owner.
     pub(crate) node: NodeName,
-    /// Tells lives of one node apart.
+    /// Distinguishes processes that ran under the same node name.
     pub(crate) life: u64,
+    /// The owner's address for calls from other nodes.
     pub(crate) addr: SocketAddr,
-    /// How much of a cell's work the node can do, in cores.
+    /// The node's capacity to run a cell, in cores.
     pub(crate) strength: f64,
-    /// The node's steady clock in milliseconds when the record was sent.
+    /// The node's monotonic clock when the record was sent, in milliseconds.
     pub(crate) clock: u64,
-    /// Given up: whoever wants it may take it at once.
+    /// The owner has released the ownership: any node may claim it at once.
     pub(crate) released: bool,
-    /// No owner before this one can be renewing leases any more.
+    /// No earlier owner can still be renewing leases.
     pub(crate) settled: bool,
-    /// Time without a renewal after which it may be claimed, in milliseconds.
+    /// Time without a renewal after which another node may claim the ownership, in milliseconds.
     pub(crate) expiry: u64,
 }
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -6,9 +6,9 @@
 use cactuswheel_model::Time;
 use cactuswheel_node::{Claim, Claims};
 
-/// Callers wait four seconds for instances that nobody ordered of late. The store is slow, does a
-/// claim, and its answer comes too late; the record that is read back says that the claim won.
-/// What the node knew of the owner before dates that one's orders all the same.
+/// Guards against four seconds without moves of instances that had no recent orders. The store
+/// applies a claim but its answer comes too late, and the node learns from the record it reads back
+/// that it won. Its knowledge of the previous owner must still date that owner's orders.
 #[test]
 fn answer_lost() {
     let heard = Time::new(50_000);
@@ -25,7 +25,7 @@
         exclusive: false,
         predecessor: Some(before),
     });
-    // No answer; the record with epoch 2 is read back.
+    // The answer is lost; the record with epoch 2 is read back.
     let won = claims.for_epoch(2).expect("it is this node's claim");
     let order = OrderRecord {
         life: 7,
@@ -38,7 +38,7 @@
     assert!(kept.is_empty(), "the order is seven seconds old");
 }
 
-/// Another node's ownership is not taken for the node's own claim that lost against it.
+/// A claim that lost must not be taken for the one behind another node's ownership.
 #[test]
 fn lost_claim() {
     let mut claims = Claims::default();
--- a/crates/node/tests/owner_clock.rs
+++ b/crates/node/tests/owner_clock.rs
@@ -1,11 +1,13 @@
-//! How old the owner's last word is, for nodes that do not read each of its renewals.
+//! Dating the owner's newest record on nodes that don't read every renewal.
 
 use cactuswheel_model::Time;
 use cactuswheel_node::OwnerClock;
 
-/// The owner's clock shows 90 s less than this node's.
+/// How far this node's clock is ahead of the owner's, in milliseconds.
 const CLOCK_OFFSET: u64 = 90_000;
 
+/// When the owner was last heard from, after records read and sent at these times of this node's
+/// clock.
 fn heard_at(reads: &[(u64, u64)]) -> u64 {
     let mut owner_clock = OwnerClock::new(Time::default());
     for (now, sent) in reads {
@@ -14,17 +16,17 @@
     owner_clock.last_heard().get()
 }
 
-/// Jobs wait for a new owner. The owner renews, is killed at once, and a node that reads a second
-/// later takes the record for fresh: it claims the ownership a second late. The records before
-/// tell how much older than the read the newest one is.
+/// Guards against a late takeover: the owner is killed right after a renewal, and a node that reads
+/// the record a second later takes it for fresh and claims the ownership a second late, while jobs
+/// wait. Earlier records give the clock offset, and with it the age of the newest record.
 #[test]
 fn dates_late_reads() {
-    // Read at once, 4 ms on their way; then one that was sent a second before it was read.
+    // One record read 4 ms after it was sent, then one read a second after it was sent.
     assert_eq!(heard_at(&[(100_004, 100_000), (102_000, 101_000)]), 101_004);
 }
 
-/// Two nodes own the cell for a moment: a node claims it while the owner is alive, since it dates
-/// the owner's word too early. A record is never dated before it was sent.
+/// Guards against two owners at a time: a node that dates the owner's record too early claims the
+/// ownership while the owner is alive. A record is never dated before it was sent.
 #[test]
 fn never_too_early() {
     for late in [0, 3, 250, 1_400] {
@@ -33,8 +35,8 @@
     }
 }
 
-/// A node claims the ownership at once when the store comes back, since the last record is old.
-/// Time without the store does not count.
+/// Guards against a claim right after a store outage, when the newest record is old although the
+/// owner is alive. Time without the store does not count.
 #[test]
 fn store_away() {
     let mut owner_clock = OwnerClock::new(Time::new(100_000));
