--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -1,8 +1,10 @@
-//! Who owns the cell.
+//! Election of the cell's owner.
 //!
-//! Ownership is a record that is renewed under a condition: each write has to find the partition
-//! ending where its writer last saw it end, so of several claims one wins. It only saves work:
-//! that two owners do no harm rests on the journal's epoch and the workers' fencing tokens.
+//! The ownership is a record in the store that its owner keeps renewing. Each write is conditional:
+//! it succeeds only if the partition still ends at the offset that the writer last saw, so only one
+//! of several concurrent claims wins. The election merely avoids duplicate work. If two nodes
+//! consider themselves the owner, the journal's epoch and the workers' fencing tokens keep this
+//! safe.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -25,70 +27,73 @@
 use crate::shared::Shared;
 use crate::topics::OWNER;
 
-/// Time between renewals, from sending to sending.
+/// Interval between renewals, from one send to the next.
 const RENEW_INTERVAL: Duration = Duration::from_millis(220);
 
-/// Time between two reads of the ownership by nodes that are weaker than the owner.
+/// Interval between reads of the ownership by nodes with less strength than the owner.
 ///
-/// Failure: the owner renews its ownership three times a second, and each renewal costs a call
-/// of every node: with 147 nodes two fifths of all calls. Those that would claim it last need not
-/// know of each.
+/// The owner renews its ownership three times a second. If every node read each renewal, these
+/// reads would make up two fifths of all calls in a cell of 147 nodes. The weaker nodes would be
+/// the last to claim the ownership, so they don't need every renewal.
 const WEAKER_READ_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Claims are spread over this time, so that most of them see the first one's.
+/// Claims are delayed by a random part of this time, so that most nodes see the first claim before
+/// they send their own.
 const CLAIM_JITTER: Duration = Duration::from_millis(40);
 
-/// Further wait of a node with a strength of one core; a weaker one waits for longer in proportion.
-/// An owner with an eighth of a core, or on a narrow link, cannot keep up with a fleet of hundreds
-/// of workers, and some nodes have four times as much.
+/// Additional claim delay of a node with a strength of one core, in inverse proportion to the
+/// strength: weaker nodes wait longer. An owner with an eighth of a core, or on a narrow link,
+/// cannot keep up with a fleet of hundreds of workers, while some nodes have four times as much.
 const SINGLE_CORE_DELAY: Duration = Duration::from_millis(25);
 
-/// Longest such wait.
+/// Longest additional claim delay.
 const MAX_CLAIM_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest time for an answer of the store, beside what a large page takes on the link. With one
-/// answer lost the next renewal still comes in time.
+/// Upper limit of the timeout of a call to the store, not counting the transfer time of a large
+/// page on the node's link. If one answer is lost, the next renewal is still in time.
 const STORE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Shortest such time.
+/// Lower limit of the timeout of a write.
 const MIN_STORE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Times as much strength as the owner that a node has to have to take the ownership from it.
+/// How many times the owner's strength a node needs to preempt a live owner.
 ///
-/// Failure: while the larger nodes are restarted in turn a small one owns the cell, and keeps it;
-/// starts wait for its processor for the rest of the day. A change of owners takes a few tenths
-/// of a second, so it has to be worth it.
+/// Without preemption, a small node that gets the ownership during a rolling restart of the larger
+/// ones would keep it, and starts would queue for its processor for the rest of the day. A change
+/// of owners takes a few tenths of a second, so it has to bring a clear gain.
 const PREEMPTION_RATIO: f64 = 2.0;
 
-/// Time for which a node watches a weaker owner before it takes the ownership from it. Nodes that
-/// start together settle who is first within it.
+/// Time for which a node observes a weaker owner before it preempts it. Nodes that start at the
+/// same time elect an owner among themselves within this period.
 const OBSERVATION_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(80);
 
-/// Key of the one record.
+/// Key of the ownership record, the only one in its partition.
 const RECORD_KEY: &str = "0";
 
-/// Takes part in the ownership.
+/// This node's participant in the election.
 pub(crate) struct Election {
     shared: Arc<Shared>,
     life: u64,
     role: watch::Sender<Role>,
-    /// Offset at which the partition ended when it was last seen.
+    /// End offset of the partition when it was last read or written.
     end_offset: u64,
+    /// The newest record.
     newest: Option<Ownership>,
     owner_clock: OwnerClock,
-    /// When the record's owner was first heard of.
+    /// When this node first saw the epoch of the newest record.
     owner_since: Time,
     claims: Claims,
-    /// When this node's last record was sent.
+    /// When this node last sent a record.
     last_sent: Time,
-    /// Time that the last renewal took.
+    /// How long this node's last successful write took.
     renewal_time: Duration,
 }
 
 impl Election {
+    /// Creates a participant that reports this node's part through `role`.
     pub(crate) fn new(shared: Arc<Shared>, life: u64, role: watch::Sender<Role>) -> Self {
         let started = shared.clock.now();
         Self {
@@ -105,10 +110,11 @@
         }
     }
 
-    /// Takes part until `stop` is set; then gives the ownership up, if it is here.
+    /// Takes part in the election until `stop` is set. The caller then releases the ownership with
+    /// [`Self::release`] if this node holds it.
     pub(crate) async fn run(mut self, mut stop: watch::Receiver<bool>) {
         while let Err(e) = self.read_newest().await {
-            log::info!(error:% = e; "ownership cannot be read yet");
+            log::info!(error:% = e; "cannot read the ownership yet; retrying");
             sleep(RETRY_PAUSE).await;
         }
         while !*stop.borrow() {
@@ -131,8 +137,8 @@
         }
     }
 
-    /// Renews the ownership, claims it anew if the cell was given up while it was held, or gives
-    /// it up if this node cannot hold it.
+    /// Renews the ownership. If the node has stopped running the cell while it held the ownership,
+    /// claims it again instead, or releases it if the node leaves it to others.
     async fn renew_or_release(&mut self) {
         let anew = self.shared.reclaim.swap(false, Ordering::AcqRel);
         match anew && self.shared.declines() {
@@ -141,11 +147,12 @@
         }
     }
 
-    /// Gives an ownership up that this node cannot hold.
+    /// Releases an ownership that this node cannot hold, and tries again later if that fails.
     ///
-    /// Failure: the store is away just then, the ownership is renewed after its return by a node
-    /// that runs no cell, and nobody takes it over. Until it is given up it is not renewed, so
-    /// that it lapses at the latest.
+    /// If the store is unavailable at this moment, the node must not go back to renewing once the
+    /// store returns: it would hold the ownership without running the cell, and no other node would
+    /// take over. The ownership is not renewed until it has been released, so it expires at the
+    /// latest.
     async fn relinquish(&mut self) {
         if let Some(last) = &self.newest {
             Self::release(&self.shared, last.epoch, self.life).await;
@@ -157,7 +164,7 @@
         }
     }
 
-    /// Gives the ownership up, so that another node takes it without waiting for its expiry.
+    /// Releases the ownership with this epoch, so that another node can claim it before it expires.
     pub(crate) async fn release(shared: &Shared, epoch: u64, life: u64) {
         let Ok(page) = shared.store.newest(OWNER, None, STORE_TIMEOUT).await else {
             return;
@@ -177,20 +184,22 @@
             .append(OWNER, None, Some(page.end), &records, STORE_TIMEOUT);
         match done.await {
             Ok(_) => log::info!(epoch = epoch; "ownership released"),
-            Err(e) => log::warn!(epoch = epoch, error:% = e; "ownership not released"),
+            Err(e) => log::warn!(epoch = epoch, error:% = e; "failed to release ownership"),
         }
     }
 
+    /// Whether the newest record says that this process owns the cell.
     fn is_owner(&self) -> bool {
         let me = &self.shared.settings.node;
         let last = self.newest.as_ref();
         last.is_some_and(|o| o.node == *me && o.life == self.life && !o.released)
     }
 
-    /// Waits for a record, and claims the ownership when none comes.
+    /// Waits for the next record, and claims the ownership if it was released or expires, or if
+    /// this node can preempt the owner.
     async fn watch(&mut self) {
         let now = self.shared.clock.now();
-        // An earlier life of this node is gone for sure.
+        // An earlier process of this node has certainly ended.
         let me = &self.shared.settings.node;
         let mut last = self.newest.iter();
         let released = last.all(|o| o.released || (o.node == *me && o.life != self.life));
@@ -209,12 +218,13 @@
         if !self.read_records(left).await || !self.is_weaker() {
             return;
         }
-        // Others claim it before this node does; whoever misses the owner asks sooner.
+        // Stronger nodes would claim the ownership before this one, so read less often; a caller
+        // on this node that gets no answer from the owner ends the pause early.
         let _ = timeout(WEAKER_READ_INTERVAL, self.shared.missed.notified()).await;
         self.read_records(Duration::ZERO).await;
     }
 
-    /// Reads what is new of the ownership; waits up to `wait` for it. True if that worked.
+    /// Reads new records, waiting up to `wait` for one. Returns false if the read failed.
     async fn read_records(&mut self, wait: Duration) -> bool {
         let limit = STORE_TIMEOUT + page_time(self.shared.settings.link);
         let read = self
@@ -235,9 +245,9 @@
                 false
             }
             Err(ReadError::Failed(_)) => {
-                // Failure: the store is back after an outage, every node finds the ownership
-                // long expired and claims it before its owner can renew. Time without the
-                // store does not count.
+                // Time without the store doesn't count towards the expiry. Otherwise, when the
+                // store returns after an outage, every node would find the ownership long
+                // expired and claim it before its owner can renew it.
                 self.owner_clock.skip_outage(self.shared.clock.now());
                 sleep(RETRY_PAUSE).await;
                 false
@@ -245,7 +255,7 @@
         }
     }
 
-    /// Whether this node is weaker than the owner.
+    /// Whether this node has less strength than the owner.
     fn is_weaker(&self) -> bool {
         let strength = self.shared.settings.strength();
         self.newest
@@ -253,7 +263,8 @@
             .is_some_and(|o| strength < o.strength && !o.released)
     }
 
-    /// Whether the owner is so much weaker than this node that a change pays.
+    /// Whether this node may preempt the owner: the owner has at most half of this node's strength
+    /// and was observed for long enough, and this node's configuration is fresh.
     fn can_preempt(&self, now: Time) -> bool {
         let strength = self.shared.settings.strength();
         let weaker = |o: &Ownership| o.strength * PREEMPTION_RATIO <= strength;
@@ -262,6 +273,7 @@
             && self.shared.is_fresh()
     }
 
+    /// Claims the ownership after a delay, unless another record arrives meanwhile.
     async fn try_claim(&mut self) {
         let wait = CLAIM_JITTER.mul_f64(rand::rng().random_range(0.0..1.0))
             + SINGLE_CORE_DELAY
@@ -283,7 +295,8 @@
         }
     }
 
-    /// Claims or renews the ownership, if nobody else has written since.
+    /// Claims or renews the ownership, provided that no other record was written since the last
+    /// read.
     async fn write_record(&mut self, claim: bool) {
         let settings = &self.shared.settings;
         let epoch = self.newest.as_ref().map_or(0, |o| o.epoch) + u64::from(claim);
@@ -295,7 +308,7 @@
         };
         let expiry = expiry_for(self.shared.least_expiry, renewal);
         if claim {
-            // Who gives the ownership up has stopped renewing leases before.
+            // An owner stops renewing leases before it releases the ownership.
             let exclusive = self.newest.as_ref().is_none_or(|o| o.released && o.settled);
             self.claims.track(Claim {
                 epoch,
@@ -341,11 +354,13 @@
                 self.accept_record(record);
             }
             Err(AppendError::Refused(_)) => sleep(RETRY_PAUSE).await,
-            // Somebody else wrote, or an earlier try of ours was done: the newest record tells.
+            // Another node has written, or an earlier attempt of this node was applied: read the
+            // newest record to find out.
             Err(_) => self.resync().await,
         }
     }
 
+    /// What this node knows of the owner in the newest record.
     fn last_owner(&self) -> Option<LastOwner> {
         let last = self.newest.as_ref()?;
         Some(LastOwner {
@@ -356,34 +371,39 @@
         })
     }
 
+    /// Reads the newest record; on failure pauses, and excludes the outage from the expiry.
     async fn resync(&mut self) {
         if let Err(e) = self.read_newest().await {
-            log::debug!(error:% = e; "ownership cannot be read");
+            log::debug!(error:% = e; "cannot read the ownership; retrying");
             self.owner_clock.skip_outage(self.shared.clock.now());
             sleep(RETRY_PAUSE).await;
         }
     }
 
+    /// Reads the newest record and the partition's end offset.
     async fn read_newest(&mut self) -> Result<(), ReadError> {
         let page = self.shared.store.newest(OWNER, None, STORE_TIMEOUT).await?;
         self.end_offset = page.end;
         for item in page.items {
             match decode::<Ownership>(&item.value) {
                 Ok(record) => self.accept_record(record),
-                Err(e) => log::error!(error:% = e; "ownership record cannot be read"),
+                Err(e) => log::error!(error:% = e; "cannot decode the ownership record"),
             }
         }
         Ok(())
     }
 
+    /// Decodes a record and accepts it.
     fn decode_record(&mut self, record: &bytes::Bytes) {
         let value = Keyed::read(record).and_then(|r| r.value);
         match value.map(|v| decode::<Ownership>(&v)) {
             Some(Ok(record)) => self.accept_record(record),
-            other => log::error!(record:? = other; "ownership record cannot be read"),
+            other => log::error!(record:? = other; "cannot decode the ownership record"),
         }
     }
 
+    /// Makes a record the newest one unless its epoch is older, and updates the known owner and
+    /// this node's role.
     fn accept_record(&mut self, record: Ownership) {
         if self.newest.as_ref().is_some_and(|o| o.epoch > record.epoch) {
             return;
@@ -398,7 +418,7 @@
         }
         if changed {
             self.owner_since = self.shared.clock.now();
-            log::info!(owner:% = record.node, epoch = record.epoch; "owner known");
+            log::info!(owner:% = record.node, epoch = record.epoch; "new owner of the cell");
         }
         let at = OwnerAt {
             node: record.node.clone(),
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes the cell over: shuts earlier owners out, then reads all that they have written.
+//! Takeover of the cell: fences off earlier owners, then reads everything they have written.
 
 use std::time::Duration;
 
@@ -14,79 +14,84 @@
 use crate::shared::Shared;
 use crate::topics::{IntakeKey, JOURNAL, MAINTAINED, WAVES, intake};
 
-/// Name under which every owner writes the journal: the epoch tells them apart.
+/// Producer name under which every owner writes the journal; the epoch distinguishes the owners.
 pub(crate) const PRODUCER_NAME: &str = "owner";
 
-/// Time without a part of the store's answer, beside what a large page takes on the link.
+/// Timeout of a call to the store, not counting the transfer time of a large page on the node's
+/// link.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Partitions that are read at a time.
+/// Number of partitions that are read concurrently.
 ///
-/// Failure: all partitions are read at once over a narrow link, none is through within its time,
-/// and every try begins anew; the takeover never ends. Two at a time hide the way to the store,
-/// and leave the link to the renewals of the ownership.
+/// If all partitions were read at once over a narrow link, none would complete within its timeout
+/// and every attempt would start over, so the takeover would never end. Two at a time hide the
+/// round trip to the store and leave room on the link for the renewals of the ownership.
 const MAX_IN_FLIGHT: usize = 2;
 
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Lease that is asked for. A takeover and two looks fit in, and work on a worker that falls
-/// silent starts again elsewhere in about this time.
+/// Upper limit of the workers' lease. A takeover and two polls fit into it, and runs on a worker
+/// that falls silent are started again elsewhere after about this time.
 const MAX_LEASE: Millis = Millis::new(4_500);
 
-/// Time that a batch for the journal may take on the link: renewals of the ownership wait behind it.
+/// Time that a journal batch may take on the link, since renewals of the ownership wait behind it.
 const MAX_BATCH_TIME: Duration = Duration::from_millis(150);
 
-/// Least such size, in bytes.
+/// Lower limit of the batch size, in bytes.
 const MIN_BATCH_SIZE: usize = 16 << 10;
 
-/// Largest, in bytes: well below what the store takes in one call.
+/// Upper limit of the batch size, in bytes: well below what the store accepts in one call.
 const MAX_BATCH_SIZE: usize = 512 << 10;
 
-/// Part of a node's memory that the records of a cell may take: in the cell they take about six
-/// times as much.
+/// The records of a cell may take up the node's memory divided by this. Once loaded into the cell,
+/// they take about six times as much as in the store.
 const MEMORY_DIVISOR: usize = 8;
 
-/// Longest time that a job's age may be worth counting; clocks of nodes may be off.
+/// Upper limit of a job's age, since the clocks of nodes may differ.
 const MAX_AGE: Duration = Duration::from_secs(60);
 
-/// Why the cell was not taken over.
+/// Why a takeover failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TakeoverError {
-    /// A newer owner is there.
-    #[error("a newer owner is there")]
+    /// A newer owner has fenced off this one.
+    #[error("a newer owner has fenced off this one")]
     Deposed,
-    /// The cell's state is more than this node may hold.
-    #[error("error 506: the cell's state has {size} bytes of records; this node takes {limit}")]
+    /// The cell's state is too large for this node's memory.
+    #[error(
+        "error 506: the cell's state has {size} bytes of records; the limit of this node is {limit}"
+    )]
     TooLarge {
-        /// Bytes of records.
+        /// Size of the records, in bytes.
         size: usize,
-        /// Most that the node takes.
+        /// Largest size that this node accepts, in bytes.
         limit: usize,
     },
-    /// A record cannot be read; going on without it would run work twice.
+    /// A record cannot be decoded. Continuing without it could run its job twice.
     #[error("journal of job {0}: {1}")]
     Record(JobId, BadRecord),
 }
 
-/// The cell as the store knows it, and the offsets from which to follow the intake.
+/// Result of a takeover.
 pub(crate) struct Takeover {
+    /// The cell, rebuilt from the store.
     pub(crate) cell: Cell,
+    /// For each intake partition, the offset from which to follow it.
     pub(crate) offsets: Vec<u64>,
-    /// What planners of earlier owners have had remembered.
+    /// The maintenance history that earlier owners recorded.
     pub(crate) history: History,
-    /// Last orders to instances; `None` if they cannot be read.
+    /// The recorded orders to instances; `None` if they cannot be read.
     pub(crate) orders: Option<Vec<(InstanceName, OrderRecord)>>,
 }
 
-/// Takes the cell over under `epoch`; `alone` if no earlier owner renews leases any more.
+/// Takes the cell over under `epoch`. `alone` says that no earlier owner still renews leases.
 pub(crate) async fn take_over(
     shared: &Shared,
     epoch: u64,
     alone: bool,
 ) -> Result<Takeover, TakeoverError> {
     fence_off(shared, epoch).await?;
-    // Whatever an earlier owner has in the journal is there by now, and nothing is added.
+    // From here on the journal is complete: earlier owners cannot append to it any more.
     let parts = (0..shared.settings.parts).map(intake);
     let all = [JOURNAL].into_iter().chain(parts);
     let read = stream::iter(all.map(|part| read_newest(shared, part)));
@@ -124,11 +129,12 @@
     })
 }
 
+/// Size of the items' keys and values, in bytes.
 fn total_size(items: &[Item]) -> usize {
     items.iter().map(|i| i.key.len() + i.value.len()).sum()
 }
 
-/// Puts what earlier owners left behind into a fresh cell.
+/// Restores the state that earlier owners have written into a new cell.
 fn rebuild_cell(
     shared: &Shared,
     cell: &mut Cell,
@@ -136,7 +142,7 @@
     journal: &[Item],
 ) -> Result<(), TakeoverError> {
     let now = shared.clock.now();
-    // A job's cancelling may come before the job: records are in order of their keys.
+    // A job's cancellation may precede its submission, since the records are in key order.
     for item in intake {
         apply_intake(shared, cell, now, &item.key, &item.value);
     }
@@ -149,7 +155,7 @@
     let states = states.filter(|i| IntakeKey::parse(&i.key).is_none());
     for item in states {
         let Ok(id) = item.key.parse::<JobId>() else {
-            log::error!(key = item.key; "journal record of no job");
+            log::error!(key = item.key; "journal record with an invalid key");
             continue;
         };
         let record = decode::<JobRecord>(&item.value);
@@ -157,7 +163,7 @@
         cell.restore(now, id, record);
     }
     for item in intake {
-        // What was cancelled stays cancelled, whatever an earlier owner's record says.
+        // A cancelled job stays cancelled, whatever the record of an earlier owner says.
         if let Some(IntakeKey::Cancelled(id)) = IntakeKey::parse(&item.key) {
             cell.cancel(now, id);
         }
@@ -166,7 +172,7 @@
     Ok(())
 }
 
-/// Takes over a submission that an earlier owner has accepted.
+/// Restores a submission that an earlier owner has accepted.
 fn restore_submission(
     shared: &Shared,
     cell: &mut Cell,
@@ -179,18 +185,19 @@
     Ok(())
 }
 
-/// How long ago a job was accepted, as far as that counts.
+/// How long ago a job was accepted, at most [`MAX_AGE`].
 fn submission_age(shared: &Shared, sub: &Submission) -> Duration {
     let age = shared.clock.wall().saturating_sub(sub.accepted);
     Duration::from_millis(age).min(MAX_AGE)
 }
 
-/// What earlier owners have had remembered of instances: maintenance, and their last orders.
+/// Reads what earlier owners have recorded of instances: the maintenance history and the orders.
 async fn read_instances(shared: &Shared) -> (History, Option<Vec<(InstanceName, OrderRecord)>>) {
     let ((maintained, _), (begun, _)) =
         tokio::join!(read_newest(shared, MAINTAINED), read_newest(shared, WAVES));
-    // Only now: while the whole store is away each partition of the orders would count as
-    // unreadable, and no instance be moved for seconds after its return.
+    // The orders are read last, once the store has answered the other reads. During an outage of
+    // the whole store each partition of the orders would count as unreadable, and no instance
+    // would be moved for seconds after the store's return.
     let orders = shared.orders.read(&shared.store).await;
     let maintained = maintained.iter().filter_map(|i| read_maintained(&i.key));
     let history = History {
@@ -204,21 +211,24 @@
     (history, orders)
 }
 
+/// Decodes the record of an order to an instance.
 fn read_order(item: &Item) -> Option<(InstanceName, OrderRecord)> {
     match decode::<OrderRecord>(&item.value) {
         Ok(order) => Some((InstanceName::from(item.key.as_str()), order)),
         Err(e) => {
-            log::error!(instance = item.key, error:% = e; "record of an order cannot be read");
+            log::error!(instance = item.key, error:% = e; "cannot decode the record of an instance order");
             None
         }
     }
 }
 
+/// Parses the key of a maintenance record into its wave and instance.
 fn read_maintained(key: &str) -> Option<(u64, InstanceName)> {
     let (wave, instance) = key.split_once('/')?;
     Some((wave.parse().ok()?, instance.into()))
 }
 
+/// Decodes the record of when a wave began, and converts the time to this node's clock.
 fn read_wave_start(shared: &Shared, item: &Item) -> Option<(u64, Time)> {
     let wave = item.key.parse().ok()?;
     let at = decode::<u64>(&item.value).ok()?;
@@ -227,7 +237,7 @@
     Some((wave, Time::new(now.saturating_sub(age))))
 }
 
-/// Takes a record of the intake into the cell.
+/// Applies an intake record to the cell: submits or cancels its job.
 pub(crate) fn apply_intake(shared: &Shared, cell: &mut Cell, now: Time, key: &str, value: &[u8]) {
     match IntakeKey::parse(key) {
         Some(IntakeKey::Submitted(id)) => match decode::<Submission>(value) {
@@ -235,13 +245,14 @@
                 let age = submission_age(shared, &sub);
                 cell.submit(now, sub, age);
             }
-            Err(e) => log::error!(job:% = id, error:% = e; "submission cannot be read"),
+            Err(e) => log::error!(job:% = id, error:% = e; "cannot decode the submission"),
         },
         Some(IntakeKey::Cancelled(id)) => cell.cancel(now, id),
-        None => log::error!(key = key; "intake record of no job"),
+        None => log::error!(key = key; "intake record with an invalid key"),
     }
 }
 
+/// Writes the epoch to the journal, so that the store refuses appends by earlier owners.
 async fn fence_off(shared: &Shared, epoch: u64) -> Result<(), TakeoverError> {
     let producer = Producer {
         name: PRODUCER_NAME.into(),
@@ -256,16 +267,15 @@
             Err(AppendError::Fenced) => return Err(TakeoverError::Deposed),
             Err(e) => {
                 shared.metrics.append_failed("journal");
-                log::info!(epoch = epoch, error:% = e; "earlier owners not shut out yet");
+                log::info!(epoch = epoch, error:% = e; "cannot fence off earlier owners yet; retrying");
                 sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// The newest record of each key, and the offset at which the first page was read.
-///
-/// What was read stays read: only a page that fails is asked for again.
+/// Reads the newest record of each key in a partition, and the partition's end offset as of the
+/// first page. If the read of a page fails, only that page is read again.
 async fn read_newest(shared: &Shared, of: Partition) -> (Vec<Item>, u64) {
     let mut items: Vec<Item> = Vec::new();
     let mut end = None;
@@ -283,7 +293,7 @@
             Err(e) => {
                 log::info!(
                     topic = of.topic, part = of.part, read = items.len() as u64, error:% = e;
-                    "takeover waits for the store"
+                    "takeover cannot read from the store yet; retrying"
                 );
                 sleep(RETRY_PAUSE).await;
             }
@@ -291,6 +301,7 @@
     }
 }
 
+/// The cell's limits on this node.
 fn cell_bounds(shared: &Shared) -> Bounds {
     let times = &shared.settings.times;
     Bounds {
