--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Executes what the cell asks for, from this node or through relays.
+//! Executes the cell's outputs: sends orders to workers, directly or through relays.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,29 +27,29 @@
 use crate::relay_request::{Envelope, Order, Report, Reports};
 use crate::shared::Shared;
 
-/// Pause after the policy service gave no answer: it takes one call of a node at a time.
+/// Pause after a failed call to the policy service, which handles one call of a node at a time.
 const ADVICE_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Questions to the policy service at a time. It takes one of a node after the other and turns
-/// a node away that has 32 waiting; more at once only wait there instead of here.
+/// Calls to the policy service in flight. The service handles a node's calls one after the other
+/// and rejects further ones while 32 are waiting, so more calls would only move the queue there.
 const MAX_ADVICE_CALLS: usize = 4;
 
-/// Time for an answer of the policy service beyond what it says that it takes.
+/// Timeout of a call to the policy service, on top of the wait that the service announces.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time for the way to a relay and back, and for its own queue, beside the order's own limit.
+/// Time for the round trip to a relay and for the relay's own queue, on top of the order's timeout.
 const RELAY_ROUND_TRIP: Duration = Duration::from_millis(700);
 
-/// Share of the link that goes out above which orders to start leave out what the job runs.
+/// Outbound share of the link above which start orders through relays omit the job's spec.
 const HIGH_OUTBOUND_SHARE: f64 = 0.25;
 
-/// Share of the link that comes in above which answers queue on it.
+/// Inbound share of the link above which answers queue up on it.
 const HIGH_INBOUND_SHARE: f64 = 0.6;
 
-/// Time between looks for relays that are silent and orders that are overdue.
+/// Interval between checks for silent relays and overdue orders.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The owner on this node, whose orders are carried out.
+/// The owner on this node, as the receiver of order outcomes.
 #[derive(Clone)]
 struct LocalOwner {
     shared: Arc<Shared>,
@@ -58,7 +58,7 @@
 
 impl OrderSink for LocalOwner {
     async fn deliver(&self, report: Report) {
-        // With the owner gone there is nobody to tell.
+        // A failed send means that the owner is gone and needs no report.
         let _ = self.events.send(Event::Report(report)).await;
     }
 
@@ -71,35 +71,40 @@
     }
 }
 
-/// Executes what the cell asks for, until it is dropped.
+/// Executes the outputs of the cell under one epoch, until it is dropped.
 pub(crate) struct Dispatcher {
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
     epoch: u64,
     journal: JournalWriter,
+    /// Sends orders directly to workers.
     sender: OrderSender<LocalOwner>,
     relays: Relays,
     clients: Map<NodeName, RelayClient>,
-    /// What relays told of workers.
+    /// The last poll result of each worker that a relay reported, for expanding deltas.
     relay_polls: Known,
+    /// The site of each listed worker.
     sites: Map<WorkerId, Site>,
-    /// Every worker's entry was told.
+    /// The roster has been read to its end, so every worker is in `sites`.
     roster_complete: bool,
+    /// When silent relays and overdue orders were last checked for.
     last_check: Time,
     stats: OwnerStats,
-    /// How much of the link goes out.
+    /// Outbound load of the link.
     outbound: LinkLoad,
-    /// How much of it comes in.
+    /// Inbound load of the link.
     inbound: LinkLoad,
-    /// Relays are told what a job runs by its digest.
+    /// Start orders through relays refer to the job's spec by its digest.
     omit_specs: bool,
+    /// `None` if the settings name no policy service.
     policy: Option<Arc<PolicyService>>,
-    /// Questions to the policy service that are under way.
+    /// Limits the calls to the policy service in flight.
     advice_slots: Arc<Semaphore>,
     tasks: TaskTracker,
 }
 
 impl Dispatcher {
+    /// Creates a dispatcher for the ownership with this epoch.
     pub(crate) fn new(shared: Arc<Shared>, events: mpsc::Sender<Event>, epoch: u64) -> Self {
         let policy = shared
             .settings
@@ -133,6 +138,7 @@
         }
     }
 
+    /// Executes an output of the cell. Orders through relays are collected until [`Self::flush`].
     pub(crate) fn execute(&mut self, output: Output) {
         match output {
             Output::Append(batch) => self.append(batch),
@@ -159,12 +165,13 @@
                 order,
             } => self.send_order(worker, addr, Order::Pace(order)),
             Output::Ask { step, workers } => self.ask_advice(step, workers),
-            // The owner acts on these.
+            // The owner handles these itself.
             Output::Deposed { .. } | Output::Accepted(_) => {}
         }
     }
 
-    /// Sends what was collected for relays since the last call.
+    /// Sends the orders collected for relays since the last call. `origins` says which nodes have
+    /// a job's spec, and learns of relays that are sent one.
     pub(crate) fn flush(&mut self, origins: &mut SpecOrigins) {
         let now = self.shared.clock.now();
         let (sent, _) = link_bytes();
@@ -180,7 +187,7 @@
                 let addr = client.addr();
                 client.send(confirmed, |job| {
                     let known = origins.get(&job).filter(|_| omit);
-                    // The next relay gets it from this one.
+                    // Other relays can fetch the spec from this one.
                     if omit && known.is_none() {
                         origins.insert(now, job, addr);
                     }
@@ -190,12 +197,12 @@
         }
     }
 
-    /// The owner was at work for so long without a pause.
+    /// Adds time that the owner spent in one iteration of its event loop.
     pub(crate) fn add_busy(&mut self, time: Duration) {
         self.stats.add_busy(time);
     }
 
-    /// Whether so much comes in that answers may be late for that alone.
+    /// Whether the inbound load of the link is so high that this alone may delay answers.
     pub(crate) fn is_link_full(&mut self) -> bool {
         let (_, received) = link_bytes();
         let now = self.shared.clock.now();
@@ -203,12 +210,12 @@
             .is_high(now, received, self.shared.settings.link)
     }
 
-    /// Whether most orders to start leave out what the job runs.
+    /// Whether most start orders omit the job's spec.
     pub(crate) fn omits_specs(&self) -> bool {
         self.omit_specs && self.relays.count() > 0
     }
 
-    /// A node offers to relay orders.
+    /// Handles a node's offer to relay orders.
     pub(crate) fn offer(&mut self, offer: Offer) -> Reply {
         let now = self.shared.clock.now();
         let (node, addr) = (offer.node.clone(), offer.addr);
@@ -226,7 +233,8 @@
         reply
     }
 
-    /// What a relay reports, as far as it is of this ownership.
+    /// Handles the reports of a relay and expands their poll deltas. Reports of another epoch are
+    /// ignored.
     pub(crate) fn accept_reports(&mut self, reports: Reports) -> Vec<Report> {
         if reports.epoch != self.epoch {
             return Vec::new();
@@ -241,14 +249,15 @@
         unfolded
     }
 
-    /// A relay takes no orders any more.
+    /// Removes a relay, and returns reports with an unknown outcome for its pending orders.
     pub(crate) fn drop_relay(&mut self, node: &NodeName, why: &str) -> Vec<Report> {
         self.clients.remove(node);
         let lost = self.relays.lose(node, why);
         lost.into_iter().map(unknown_outcome).collect()
     }
 
-    /// What is overdue by now at relays.
+    /// Removes silent relays, and returns reports with an unknown outcome for orders that are
+    /// overdue at relays. Does nothing if the last check was less than [`CHECK_INTERVAL`] ago.
     pub(crate) fn expire_overdue(&mut self) -> Vec<Report> {
         let now = self.shared.clock.now();
         if now.since(self.last_check) < CHECK_INTERVAL {
@@ -268,19 +277,19 @@
         lost.into_iter().map(unknown_outcome).collect()
     }
 
-    /// A worker is listed.
+    /// Records the site of a listed worker.
     pub(crate) fn add_worker(&mut self, entry: &WorkerEntry) {
         if !self.sites.contains_key(&entry.id) {
             self.sites.insert(entry.id.clone(), Site::of(entry));
         }
     }
 
-    /// Every worker's entry was told.
+    /// Records that every worker's entry has been read.
     pub(crate) fn mark_complete(&mut self) {
         self.roster_complete = true;
     }
 
-    /// A worker is listed no more: its connections go.
+    /// Forgets a worker that is no longer listed, and closes its connections.
     pub(crate) fn remove_worker(&mut self, id: &WorkerId) {
         self.sites.remove(id);
         self.relay_polls.forget(id);
@@ -288,6 +297,7 @@
         self.sender.remove_worker(id);
     }
 
+    /// Sends an order directly, or adds it to the next message to the worker's relay.
     fn send_order(&mut self, worker: WorkerId, addr: SocketAddr, order: Order) {
         let now = self.shared.clock.now();
         let route = self.relays.choose(now, &worker, self.sites.get(&worker));
@@ -316,10 +326,11 @@
             .spawn(async move { journal.clear_intake(&jobs).await });
     }
 
+    /// Asks the policy service which of these workers suit a step.
     fn ask_advice(&mut self, step: StepId, workers: Vec<WorkerId>) {
         let events = self.events.clone();
         let Some(policy) = self.policy.clone() else {
-            log::error!(step:% = step; "queue has a policy, and the settings name no service");
+            log::error!(step:% = step; "queue has a policy but the settings name no policy service");
             return;
         };
         let slots = self.advice_slots.clone();
@@ -343,8 +354,8 @@
     }
 }
 
-/// What a relay owes for an order, and the time that the order itself may take. Stops are not
-/// answered: looks show what became of them.
+/// Which answer a relay has to report for an order, and the order's own timeout. Stop orders are
+/// not answered; later polls show their effect.
 fn expected_answer(order: &Order) -> Option<(Pending, Duration)> {
     match order {
         Order::Poll(number, order) => Some((Pending::Look(*number), order.wait + POLL_TIMEOUT)),
@@ -354,6 +365,7 @@
     }
 }
 
+/// The worker and the order that a report answers.
 fn answered_order(report: &Report) -> (&WorkerId, Pending) {
     match report {
         Report::Polled(worker, number, _) | Report::Delta(worker, number, _) => {
@@ -364,22 +376,22 @@
     }
 }
 
-/// Puts back what a relay left out of a look.
+/// Expands a poll delta of a relay into a full poll result.
 fn unfold_poll(known: &mut Known, node: &NodeName, report: Report) -> Report {
     let Report::Delta(worker, number, seen) = report else {
         return report;
     };
     let look = known.unfold(node, &worker, number, seen);
-    let look =
-        look.ok_or_else(|| LookError::Unknown("it refers to one that did not arrive".into()));
+    let look = look.ok_or_else(|| LookError::Unknown("delta refers to a poll not received".into()));
     Report::Polled(worker, number, look)
 }
 
+/// The report of an order to a relay that got no answer.
 fn unknown_outcome(lost: Lost) -> Report {
     let Lost { worker, order } = lost;
     match order {
         Pending::Look(number) => {
-            let error = LookError::Unknown("no word of its relay".into());
+            let error = LookError::Unknown("relay did not report the outcome".into());
             Report::Polled(worker, number, Err(error))
         }
         Pending::Start(task, run) => Report::Started(worker, task, run, StartOutcome::Unknown),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances, for the cell's owner: lists them, carries out what the planner asks for.
+//! The owner's control of instances: lists them and executes the planner's actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,78 +22,89 @@
 use crate::shared::Shared;
 use crate::topics::{MAINTAINED, WAVES};
 
-/// Time between plans.
+/// Interval between plans.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between lists while something is on the way, and while nothing is.
+/// Interval between lists of instances while the list is changing.
 const BUSY_LIST_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Interval between lists of instances while the list stays the same.
 const IDLE_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Share of the link that lists of instances may take up.
 ///
-/// Failure: a list of every instance takes up a third of what the owner reads, three times a
-/// second; on a narrow link orders and renewals of the ownership wait behind it.
+/// Without this limit, a list of every instance three times a second would make up a third of what
+/// the owner reads, and on a narrow link orders and renewals of the ownership would wait behind it.
 const LIST_LINK_SHARE: f64 = 0.05;
 
-/// Bytes a second that lists of instances may take whatever the link: what a list shows sooner
-/// changes little, since orders and arrivals are known without it.
+/// Upper limit of the rate of lists on any link, in bytes a second. More frequent lists would bring
+/// little, since orders and arrivals are known without them.
 const MAX_LIST_RATE: f64 = 200_000.0;
 
-/// About what an instance takes up in the list, in bytes.
+/// Approximate size of an instance in the list, in bytes.
 const INSTANCE_SIZE: usize = 200;
 
-/// Longest time between lists: nothing is ordered by an older one.
+/// Upper limit of the interval between lists, since the planner orders nothing by an old list.
 const MAX_LIST_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Time for an answer of the platform.
+/// Timeout of a call to the platform's instance service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Margin on the time for which orders to an instance have to come from one node, beside the time
-/// that an order may take from its record to its way.
+/// Margin on the time for which an instance stays reserved after an order, on top of the order's
+/// own duration and the timeout of the call that issues it.
 const RESERVATION_MARGIN: Duration = Duration::from_millis(400);
 
-/// Status of an order that was not given, since it is not on record.
+/// Status of an order that was not issued, because it was not recorded or the ownership has ended.
 const NOT_RECORDED: u16 = 0;
 
-/// Bits of an order's token below the owner's epoch.
+/// Number of low bits of an order token that count the orders of one owner; the epoch is above.
 const TOKEN_BITS: u32 = 20;
 
-/// Where the waves' status is told.
+/// Partition in which the status of waves is published.
 const WAVE_STATUS: Partition = Partition {
     topic: STATUS_TOPIC,
     part: 0,
 };
 
-/// The owner's part in what instances do.
+/// The owner's control of instances.
 pub(crate) struct Fleet {
     shared: Arc<Shared>,
     planner: Planner,
-    /// Each instance has one order under way at the most, so there are never many.
+    /// Planned orders on their way to the task that issues them. The queue is unbounded, but each
+    /// instance has at most one order in flight.
     orders: mpsc::UnboundedSender<Vec<QueuedOrder>>,
-    /// When each wave began.
+    /// Records when each wave began.
     waves: RecordWriter,
-    /// Instances that had their maintenance.
+    /// Records instances that have been maintained.
     maintained: RecordWriter,
-    /// What the operators are told of waves.
+    /// Publishes the status of waves to the operators.
     status: RecordWriter,
+    /// The newest list of instances.
     instances: Vec<Instance>,
+    /// When the request for that list was sent.
     listed_at: Time,
+    /// When the planner last ran.
     planned_at: Time,
-    /// Instances that an earlier owner ordered of late: nobody else may until then.
+    /// Instances that an earlier owner ordered recently, and until when they are reserved: no
+    /// orders are issued to them before then.
     ///
-    /// Failure: two owners order one instance within seconds of each other, and it is moved
-    /// back and forth under its work. An order is on record before it is given, so what is not
-    /// on record here no earlier owner has ordered.
+    /// Otherwise two owners could order the same instance within seconds of each other, and it
+    /// would be moved back and forth while it has work. An order is recorded before it is issued,
+    /// so an earlier owner cannot have ordered an instance that has no record here.
     reserved: Map<InstanceName, Reserved>,
-    /// Until then no instance may be ordered.
+    /// No instance may be ordered before this time.
     blocked_until: Time,
-    /// Pause after the store has turned the record of orders away.
+    /// Backoff after orders that could not be recorded or issued.
     backoff: Backoff,
+    /// Fencing token of the last order.
     token: u64,
 }
 
 impl Fleet {
-    /// Starts listing; `history` is what earlier owners have seen.
+    /// Starts the tasks that list instances, issue orders and write records. `history` and `orders`
+    /// are what earlier owners have recorded; `orders` is `None` if they could not be read, and
+    /// `last` is what is known of the previous owner. Returns `None` if the settings name no
+    /// instance service.
     pub(crate) fn start(
         shared: Arc<Shared>,
         events: mpsc::Sender<Event>,
@@ -118,7 +129,7 @@
         tokio::spawn(issue_orders(shared.clone(), service, events.clone(), queue));
         let wait = shared.settings.times.order.duration() + CALL_TIMEOUT + RESERVATION_MARGIN;
         let now = shared.clock.now();
-        // Nobody knows what was ordered of late: anything may have been.
+        // Without the records, any instance may have been ordered recently.
         let blocked = orders.is_none().then(|| now.after(wait));
         let reserved = reserved(now, wait, orders.unwrap_or_default(), last);
         log::info!(
@@ -142,12 +153,13 @@
         })
     }
 
+    /// Takes a new list of instances, requested at `sent`.
     pub(crate) fn set_instances(&mut self, instances: Vec<Instance>, sent: Time) {
         self.instances = instances;
         self.listed_at = sent;
     }
 
-    /// What became of an order.
+    /// Handles the outcome of an order.
     pub(crate) fn order_done(
         &mut self,
         cell: &mut Cell,
@@ -174,14 +186,14 @@
         }
     }
 
-    /// Plans, if it is time, and sets the plan going.
+    /// Runs the planner if [`PLAN_INTERVAL`] has passed, and executes its actions.
     pub(crate) fn plan(&mut self, cell: &mut Cell) {
         let now = self.shared.clock.now();
         if now.since(self.planned_at) < PLAN_INTERVAL {
             return;
         }
         self.planned_at = now;
-        // Another node may own the cell by then.
+        // Without a confirmed ownership, another node may own the cell already.
         if !self.shared.leads() || now < self.blocked_until || !self.backoff.is_over(now) {
             return;
         }
@@ -209,10 +221,11 @@
         }
         cell.expect_maintenance(self.planner.due());
         if !orders.is_empty() && self.orders.send(orders).is_err() {
-            log::error!("orders to instances are carried out no more");
+            log::error!("instance orders dropped: the task that issues them has ended");
         }
     }
 
+    /// Names of the services that may serve as spare capacity.
     fn spare_services(&self) -> Vec<ServiceName> {
         let Some(config) = self.shared.config.load_full() else {
             return Vec::new();
@@ -221,15 +234,16 @@
         spare.map(|s| s.name.clone()).collect()
     }
 
+    /// Executes an action of the planner; orders are collected in `orders`.
     fn execute(&mut self, cell: &mut Cell, action: Action, orders: &mut Vec<QueuedOrder>) {
         match action {
             Action::Order { order, worker } => {
-                // Nothing starts there between now and the order's arrival.
+                // No run may start on the worker between now and the order's arrival.
                 if let Some(worker) = &worker {
                     cell.send_away(worker);
                 }
-                // Each order has a token of its own: an earlier one that is carried out late is
-                // shut out by the later, and cannot take the instance back.
+                // Each order has its own token, so that an earlier order that arrives late is fenced
+                // off by a later one and cannot move the instance back.
                 self.token += 1;
                 orders.push(QueuedOrder {
                     order,
@@ -252,7 +266,7 @@
                 self.maintained.write(Keyed::new(key, vec![1]));
             }
             Action::Status { wave, complete } => {
-                log::info!(wave = wave, complete = complete; "wave told of");
+                log::info!(wave = wave, complete = complete; "publishing wave status");
                 let (key, value) = wave_status(wave, complete);
                 self.status.write(Keyed::new(key, value));
             }
@@ -260,11 +274,12 @@
     }
 }
 
-/// Puts orders on record, then gives them, until nobody owns the cell here any more.
+/// Records orders and then issues them, until this node no longer runs the cell.
 ///
-/// Failure: the store takes a quarter of a second for an append, one at a time, each plan appends
-/// its own orders, and those of a queue's first second are given up unrecorded. Plans that come
-/// while an append is under way go into the next one together.
+/// An append to the store can take a quarter of a second, and the store handles one at a time. If
+/// each plan appended its own orders, those of the first second of a queue would time out before
+/// they are recorded. The orders of all plans that arrive during an append are therefore recorded
+/// together in the next one.
 async fn issue_orders(
     shared: Arc<Shared>,
     service: Arc<Instances>,
@@ -284,7 +299,7 @@
         let records: Vec<Keyed> = records.collect();
         let recorded = shared.orders.write(&shared.store, &records).await;
         if let Err(e) = &recorded {
-            log::info!(error:% = e; "orders to instances not on record");
+            log::info!(error:% = e; "failed to record instance orders; not issuing them");
         }
         for item in orders {
             let (shared, service) = (shared.clone(), service.clone());
@@ -294,7 +309,7 @@
                 shared.metrics.instance_ordered(outcome_name(outcome));
                 log::info!(
                     order:? = item.order, token = item.token.fence, outcome:? = outcome;
-                    "instance ordered"
+                    "instance order finished"
                 );
                 let event = Event::Ordered(item.order, item.worker, outcome);
                 let _ = events.send(event).await;
@@ -303,14 +318,15 @@
     }
 }
 
-/// An order that is to be given.
+/// An order waiting to be recorded and issued.
 struct QueuedOrder {
     order: InstanceOrder,
+    /// The worker on the instance.
     worker: Option<WorkerId>,
     token: OrderToken,
 }
 
-/// Gives an order, unless it is not on record or this node may own the cell no more.
+/// Issues an order, unless it was not recorded or this node may no longer own the cell.
 async fn issue(
     shared: &Shared,
     service: &Instances,
@@ -325,7 +341,7 @@
     }
 }
 
-/// Lists instances until nobody takes the lists any more.
+/// Lists instances periodically, until the owner on this node is gone.
 async fn list_instances(shared: Arc<Shared>, service: Arc<Instances>, events: mpsc::Sender<Event>) {
     let mut failing = false;
     let mut previous: Option<Vec<Instance>> = None;
@@ -334,7 +350,7 @@
         match service.list(CALL_TIMEOUT).await {
             Ok(instances) => {
                 if std::mem::take(&mut failing) {
-                    log::info!("list of instances regained");
+                    log::info!("instance list available again");
                 }
                 let size = instances.len() * INSTANCE_SIZE;
                 let min_pause = shared.settings.link.time_of(size).div_f64(LIST_LINK_SHARE);
@@ -351,7 +367,7 @@
             }
             Err(e) => {
                 if !std::mem::replace(&mut failing, true) {
-                    log::warn!(error:% = e; "list of instances lost");
+                    log::warn!(error:% = e; "cannot list instances; retrying");
                 }
                 sleep(BUSY_LIST_INTERVAL).await;
             }
@@ -359,12 +375,14 @@
     }
 }
 
+/// The instance that an order is for.
 fn instance_of(order: &InstanceOrder) -> &InstanceName {
     match order {
         InstanceOrder::Move { instance, .. } | InstanceOrder::Maintain { instance, .. } => instance,
     }
 }
 
+/// The maintenance wave that an order belongs to.
 fn wave_of(order: &InstanceOrder) -> Option<u64> {
     match order {
         InstanceOrder::Maintain { wave, .. } => Some(*wave),
@@ -372,6 +390,7 @@
     }
 }
 
+/// Label of an outcome in the metrics.
 fn outcome_name(outcome: InstanceOutcome) -> &'static str {
     match outcome {
         InstanceOutcome::Done => "done",
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the owner's journal.
+//! Writer of the owner's journal.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,16 +16,16 @@
 use crate::takeover::PRODUCER_NAME;
 use crate::topics::{IntakeKey, JOURNAL, intake, part_of};
 
-/// Time for an answer when something is dropped.
+/// Timeout of an append that drops keys from the intake.
 const DROP_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time without an answer after which the journal counts as lost.
+/// Time without an answer after which a stalled append is logged.
 const STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause before an append is repeated.
+/// Pause before a failed append is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Writes the journal under one ownership; copies share its place in it.
+/// Writes the journal under one epoch. Clones share the sequence number.
 #[derive(Debug, Clone)]
 pub(crate) struct JournalWriter {
     shared: Arc<Shared>,
@@ -35,10 +35,11 @@
     seq: Arc<AtomicU64>,
 }
 
-/// A newer owner writes the journal.
+/// Error: a newer owner writes the journal.
 struct Superseded;
 
 impl JournalWriter {
+    /// Creates a writer that reports to `events`.
     pub(crate) fn new(shared: Arc<Shared>, events: mpsc::Sender<Event>, epoch: u64) -> Self {
         Self {
             shared,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Appends a batch until it is certain, and says so.
+    /// Appends a batch, with retries until the outcome is certain, and sends [`Event::Appended`] or
+    /// [`Event::Deposed`]. Then removes the finished jobs of the batch from the intake.
     pub(crate) async fn append(self, batch: Batch) {
         let start = self.shared.clock.now();
         let finished: Vec<JobId> = batch
@@ -66,7 +68,7 @@
         let states = batch.records.into_iter();
         let states = states.map(|(id, v)| keyed(id.to_string(), v));
         let records: Vec<Keyed> = submissions.chain(states).collect();
-        // With the owner gone there is nobody to tell.
+        // Failed sends mean that the owner is gone and needs no events.
         if let Err(Superseded) = self.write(&records).await {
             let _ = self.events.send(Event::Deposed).await;
             return;
@@ -78,8 +80,9 @@
         self.clear_intake(&finished).await;
     }
 
-    /// The same epoch and sequence number each time: the store does a repeat once, whatever
-    /// became of the tries before.
+    /// Appends records until that succeeds, a newer owner is detected or the owner is gone. Retries
+    /// use the same epoch and sequence number, so that the store applies the append only once,
+    /// whatever the outcome of earlier attempts.
     async fn write(&self, records: &[Keyed]) -> Result<(), Superseded> {
         let mut failing = false;
         while !self.events.is_closed() {
@@ -89,19 +92,19 @@
                 seq: self.seq.load(Ordering::Acquire),
             };
             let Some(done) = self.try_write(&producer, records, &mut failing).await else {
-                // Nobody owns the cell here any more.
+                // This node no longer runs the cell.
                 return Ok(());
             };
             match done {
                 Ok(_) => {
                     self.seq.fetch_add(1, Ordering::AcqRel);
                     if failing {
-                        log::info!(seq = producer.seq; "journal regained");
+                        log::info!(seq = producer.seq; "journal append succeeded after failures");
                     }
                     return Ok(());
                 }
                 Err(AppendError::Fenced) => {
-                    log::warn!(epoch = self.epoch, seq = producer.seq; "journal shut this owner out");
+                    log::warn!(epoch = self.epoch, seq = producer.seq; "journal is fenced off by a newer owner");
                     return Err(Superseded);
                 }
                 Err(AppendError::Sequence {
@@ -109,7 +112,7 @@
                 }) if expected < producer.seq => self.seq.store(expected, Ordering::Release),
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
-                        log::warn!(error:% = e, seq = producer.seq; "journal lost");
+                        log::warn!(error:% = e, seq = producer.seq; "journal append failed; retrying");
                     }
                     sleep(RETRY_PAUSE).await;
                 }
@@ -118,7 +121,8 @@
         Ok(())
     }
 
-    /// `None` if the cell's owner is gone before the outcome is certain.
+    /// Makes one append; `None` if the owner is gone before the outcome is certain. Sets `failing`
+    /// and logs a warning if the append stalls.
     async fn try_write(
         &self,
         producer: &Producer,
@@ -131,7 +135,7 @@
             return Some(done);
         }
         if !std::mem::replace(failing, true) {
-            log::warn!(seq = producer.seq; "journal lost");
+            log::warn!(seq = producer.seq; "journal append stalled");
         }
         tokio::select! {
             done = append => Some(done),
@@ -139,7 +143,8 @@
         }
     }
 
-    /// Drops what the intake holds of jobs that need it no more. One that stays does no harm.
+    /// Removes the intake records of jobs that are finished or fully in the journal. Failures are
+    /// not retried, since a leftover record is harmless.
     pub(crate) async fn clear_intake(&self, jobs: &[JobId]) {
         let parts = self.shared.settings.parts;
         for part in 0..parts {
@@ -150,6 +155,7 @@
         }
     }
 
+    /// Drops keys from an intake partition.
     async fn drop_keys(&self, part: u32, records: &[Keyed]) {
         if records.is_empty() {
             return;
@@ -157,7 +163,7 @@
         let store = &self.shared.store;
         let done = store.append(intake(part), None, None, records, DROP_TIMEOUT);
         if let Err(e) = done.await {
-            log::info!(part = part, error:% = e; "finished jobs stay in the intake");
+            log::info!(part = part, error:% = e; "failed to remove jobs from the intake");
         }
     }
 }
--- a/crates/node/src/order_log.rs
+++ b/crates/node/src/order_log.rs
@@ -1,4 +1,4 @@
-//! The record of orders to instances, over all partitions of its topic.
+//! The log of orders to instances, spread over all partitions of its topic.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
@@ -9,32 +9,33 @@
 
 use crate::topics::orders;
 
-/// Time for an order to get on record; after it the order is not given, and planned anew.
+/// Time limit for recording an order. After it the order is not issued, and is planned again.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time for an answer to a read.
+/// Timeout of a read.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Times that a partition is read before it counts as unreadable.
+/// Number of attempts to read a partition before it counts as unreadable.
 const READ_ATTEMPTS: usize = 5;
 
-/// Pause before it is read again.
+/// Pause after a failed attempt to read a partition.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// The record of orders to instances.
+/// The log of orders to instances.
 ///
-/// Failure: one partition of the store is down, the others take jobs, and no instance moves to
-/// the pools that have to run them, since no order gets on record. An order goes on record in
-/// any partition that takes it, and a new owner reads them all.
+/// With a single partition, its outage would stop all moves of instances, since no order could be
+/// recorded, while the other partitions of the store still accept jobs that need those instances.
+/// An order is therefore recorded in any partition that accepts it, and a new owner reads all of
+/// them.
 #[derive(Debug)]
 pub struct OrderLog {
     parts: u32,
-    /// Partition that took the last record.
+    /// Partition to try first: the last one that accepted records, or the one after the last failed.
     preferred: AtomicU32,
 }
 
 impl OrderLog {
-    /// A record in `parts` partitions.
+    /// Creates a log over `parts` partitions.
     pub fn new(parts: u32) -> Self {
         Self {
             parts,
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Writes records to the first partition that takes them.
+    /// Writes records to the first partition that accepts them. Returns the last error once every
+    /// partition has failed or the time limit is over.
     pub async fn write(&self, store: &Store, records: &[Keyed]) -> Result<(), AppendError> {
         let started = Instant::now();
         let first = self.preferred.load(Ordering::Relaxed);
@@ -54,9 +56,9 @@
                 self.preferred.store(part, Ordering::Relaxed);
                 return Ok(());
             };
-            log::info!(part = part, error:% = e; "partition takes no orders");
+            log::info!(part = part, error:% = e; "partition did not accept order records");
             part = (part + 1) % self.parts;
-            // One that does not answer is left for the next time, too.
+            // The next write skips a partition that did not answer, too.
             self.preferred.store(part, Ordering::Relaxed);
             if part == first || started.elapsed() >= WRITE_TIMEOUT {
                 return Err(e);
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Every partition's newest record of each instance; `None` if one cannot be read.
+    /// Reads the newest record of each instance in every partition; `None` if any partition cannot
+    /// be read.
     pub async fn read(&self, store: &Store) -> Option<Vec<Item>> {
         let parts = (0..self.parts).map(|part| read_part(store, part));
         let read = join_all(parts).await;
@@ -73,17 +76,19 @@
     }
 }
 
+/// Reads a partition, with retries.
 async fn read_part(store: &Store, part: u32) -> Option<Vec<Item>> {
     for _ in 0..READ_ATTEMPTS {
         match read_pages(store, part).await {
             Ok(items) => return Some(items),
-            Err(e) => log::info!(part = part, error:% = e; "orders cannot be read yet"),
+            Err(e) => log::info!(part = part, error:% = e; "cannot read order records"),
         }
         sleep(RETRY_PAUSE).await;
     }
     None
 }
 
+/// Reads all pages of a partition.
 async fn read_pages(store: &Store, part: u32) -> Result<Vec<Item>, ReadError> {
     let mut items: Vec<Item> = Vec::new();
     loop {
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -1,4 +1,4 @@
-//! Sends orders to workers from this node, for its own cell or for an owner on another node.
+//! Sends orders from this node to workers, for the owner on this node or on another one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,60 +16,64 @@
 use crate::relay_request::{Envelope, Order, Report};
 use crate::shared::Shared;
 
-/// Orders to one worker that are under way at a time. Two keep one lost answer from holding all
-/// others up; each takes a connection.
+/// Start orders to one worker in flight; each takes up a connection. With two, a single lost
+/// answer does not block all other starts.
 const MAX_PER_WORKER: usize = 2;
 
-/// Time that orders under way may take on the link.
+/// Transfer time on the link that the start orders in flight may add up to.
 ///
-/// Failure: a new owner starts hundreds of tasks at once over a narrow link, the renewals of its
-/// ownership wait behind them for seconds, and the ownership is claimed by the next node.
+/// Without this limit, a new owner on a narrow link could start hundreds of tasks at once. The
+/// renewals of its ownership would wait behind these orders for seconds, and another node would
+/// claim the ownership.
 const MAX_LINK_TIME: Duration = Duration::from_millis(150);
 
-/// About what an order and its answer take up on the link, in bytes.
+/// Approximate size of an order and its answer on the link, in bytes.
 const ORDER_SIZE: usize = 700;
 
-/// Least number of orders under way.
+/// Lower limit of the number of start orders in flight.
 const MIN_IN_FLIGHT: usize = 16;
 
-/// Longest wait for an answer to an order; a shorter one is learnt from how long answers take.
+/// Upper limit of the timeout of an order; start orders use a shorter one derived from observed
+/// round-trip times.
 pub(crate) const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for an answer to a look, beyond its own wait; a shorter one is learnt.
+/// Upper limit of the timeout of a poll, on top of the wait that the poll itself asks for. A
+/// shorter one is derived from observed round-trip times.
 pub(crate) const POLL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Shortest wait for an answer. A node that has used up its processor stands still for a tenth
-/// of a second.
+/// Lower limit of a derived timeout. A node that has used up its processor quota is throttled for
+/// a tenth of a second.
 const MIN_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time without an order after which a worker's connections go.
+/// Time without an order after which the connections to a worker are closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Workers that are reached before unused ones are looked for.
+/// Number of connected workers from which idle connections are closed.
 const PRUNE_ABOVE: usize = 64;
 
-/// Where the outcome of orders is reported.
+/// Receiver of the outcomes of orders: the owner on whose behalf they are sent.
 pub(crate) trait OrderSink: Clone + Send + Sync + 'static {
-    /// Tells what became of an order.
+    /// Delivers the outcome of an order.
     fn deliver(&self, report: Report) -> impl Future<Output = ()> + Send;
 
-    /// Whether nobody takes reports any more.
+    /// Whether reports are no longer received.
     fn is_disconnected(&self) -> bool;
 
-    /// Whether the ownership under which orders are given was confirmed so lately that nobody
-    /// else can have claimed it.
+    /// Whether the ownership under which orders are given was confirmed so recently that no other
+    /// node can have claimed it.
     fn holds_ownership(&self) -> bool;
 }
 
-/// Sends orders to workers, until it is dropped.
+/// Sends orders to workers. Dropping it cancels the polls in flight.
 pub(crate) struct OrderSender<C> {
     shared: Arc<Shared>,
     sink: C,
     workers: Map<WorkerId, WorkerConn>,
-    /// Orders that may be under way.
+    /// Limits the start orders in flight to all workers.
     window: Arc<Semaphore>,
-    /// How long workers' answers to orders take.
+    /// Round-trip times of start orders.
     start_rtt: Arc<RttEstimator>,
+    /// When idle connections were last closed.
     last_pruned: Time,
     tasks: TaskTracker,
 }
@@ -78,14 +82,17 @@
 struct WorkerConn {
     addr: SocketAddr,
     orders: Arc<Orders>,
+    /// Limits the start orders in flight to this worker.
     slots: Arc<Semaphore>,
-    /// Newest fencing token that any order carried; older orders are not sent any more.
+    /// Newest fencing token of any poll; start orders with an older one are not sent.
     fence: Arc<AtomicU64>,
+    /// The poll in flight.
     poll: Option<AbortHandle>,
     last_used: Time,
 }
 
 impl<C: OrderSink> OrderSender<C> {
+    /// Creates a sender that reports outcomes to `sink`.
     pub(crate) fn new(shared: Arc<Shared>, sink: C) -> Self {
         let orders = shared.settings.link.bytes_in(MAX_LINK_TIME) / ORDER_SIZE;
         let orders = orders.clamp(MIN_IN_FLIGHT, Semaphore::MAX_PERMITS);
@@ -100,6 +107,7 @@
         }
     }
 
+    /// Sends an order in the background.
     pub(crate) fn submit(&mut self, envelope: Envelope) {
         let Envelope {
             worker,
@@ -115,7 +123,7 @@
         }
     }
 
-    /// A start order cannot be sent.
+    /// Reports a start order as not sent. Ignores other orders.
     pub(crate) fn reject(&self, envelope: Envelope) {
         let Order::Start(order) = envelope.order else {
             return;
@@ -126,11 +134,12 @@
         self.tasks.spawn(async move { sink.deliver(report).await });
     }
 
-    /// A worker is listed no more: its connections go.
+    /// Closes the connections to a worker that is no longer listed.
     pub(crate) fn remove_worker(&mut self, id: &WorkerId) {
         self.workers.remove(id);
     }
 
+    /// Closes connections that have been idle for [`IDLE_TIMEOUT`], if there are many.
     fn prune(&mut self) {
         let now = self.shared.clock.now();
         if self.workers.len() < PRUNE_ABOVE || now.since(self.last_pruned) < IDLE_TIMEOUT {
@@ -141,6 +150,7 @@
             .retain(|_, conn| now.since(conn.last_used) < IDLE_TIMEOUT);
     }
 
+    /// Returns the connections to a worker, which are replaced if its address has changed.
     fn conn(&mut self, id: &WorkerId, addr: SocketAddr) -> &mut WorkerConn {
         let now = self.shared.clock.now();
         let fresh = || WorkerConn {
@@ -159,6 +169,7 @@
         conn
     }
 
+    /// Sends a poll in place of the poll in flight, which is cancelled.
     fn poll(&mut self, worker: WorkerId, addr: SocketAddr, number: u64, order: HoldOrder) {
         let sink = self.sink.clone();
         let queued = self.shared.settings.link.queue_time();
@@ -186,11 +197,14 @@
             let (Ok(_slot), Ok(_order)) = (slots.acquire().await, window.acquire().await) else {
                 return;
             };
-            // An order that was superseded would be refused; not sending it says so sooner.
+            // The worker would refuse a superseded order anyway. Not sending it gives the outcome
+            // sooner.
             let superseded = fence.load(Ordering::Acquire) > order.fence || sink.is_disconnected();
-            // Failure: an owner is frozen with an order in hand, and wakes when another one has
-            // settled that run and the worker has started anew, knowing no fencing token; the
-            // task runs twice. Ownership is confirmed more often than it can be claimed.
+            // The fencing token alone does not cover an owner that is suspended with an order in
+            // hand and resumes after another owner has settled that run and the worker has
+            // restarted without knowledge of any token: the task would run twice. Checking that
+            // the ownership is confirmed suffices, since the confirmation expires before another
+            // node can claim the ownership.
             let superseded = superseded || !sink.holds_ownership();
             let outcome = match superseded {
                 true => StartOutcome::NotSent,
@@ -243,7 +257,7 @@
     }
 }
 
-/// Orders a start, and learns from how long its answer takes.
+/// Sends a start order, and updates the round-trip time estimate.
 async fn send_start(orders: &Orders, order: &StartOrder, start_rtt: &RttEstimator) -> StartOutcome {
     let sent = Instant::now();
     let outcome = orders.start(order, start_rtt.limit()).await;
@@ -255,6 +269,7 @@
     outcome
 }
 
+/// Label of an outcome in the metrics.
 fn outcome_name(outcome: StartOutcome) -> &'static str {
     match outcome {
         StartOutcome::Started => "started",
--- a/crates/node/src/record_writer.rs
+++ b/crates/node/src/record_writer.rs
@@ -1,4 +1,4 @@
-//! Writes records that have to be there some time, many at once.
+//! Background writer of records that are not urgent, in batches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,25 +10,26 @@
 use crate::event::Event;
 use crate::shared::Shared;
 
-/// Time for an answer.
+/// Timeout of an append.
 const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause before records are written again.
+/// Pause before a failed append is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Writes records to one partition until they are there, or until nobody owns the cell here any
-/// more.
+/// Writes records to one partition, with retries until they are stored or this node no longer runs
+/// the cell.
 ///
-/// Failure: the store takes a quarter of a second for an append, one at a time, and a hundred
-/// records that are written by themselves keep it busy for half a minute. What comes while an
-/// append is under way goes into the next one together.
+/// An append to the store can take a quarter of a second, and the store handles one at a time: a
+/// hundred records written one by one would keep it busy for half a minute. Records that arrive
+/// during an append are therefore written together in the next one.
 #[derive(Debug)]
 pub(crate) struct RecordWriter {
-    /// Each instance and each wave has a record or two, so there are never many.
+    /// Unbounded, but there are only one or two records for each instance and each wave.
     queue: mpsc::UnboundedSender<Keyed>,
 }
 
 impl RecordWriter {
+    /// Starts a writer to `partition`.
     pub(crate) fn start(
         shared: Arc<Shared>,
         events: mpsc::Sender<Event>,
@@ -39,13 +40,15 @@
         Self { queue }
     }
 
+    /// Queues a record.
     pub(crate) fn write(&self, record: Keyed) {
         if self.queue.send(record).is_err() {
-            log::warn!("record not written: nobody owns the cell here any more");
+            log::warn!("record dropped: this node no longer runs the cell");
         }
     }
 }
 
+/// Writes queued records in batches.
 async fn run_writer(
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
@@ -66,7 +69,7 @@
                 return;
             }
             let count = records.len() as u64;
-            log::info!(topic = partition.topic, records = count, error:% = e; "records not written yet");
+            log::info!(topic = partition.topic, records = count, error:% = e; "failed to write records; retrying");
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -17,8 +17,8 @@
 /// Producer name under which every owner writes the journal; the epoch distinguishes the owners.
 pub(crate) const PRODUCER_NAME: &str = "owner";
 
-/// Timeout of a call to the store, not counting the transfer time of a large page on the node's
-/// link.
+/// Timeout of a call to the store; for a read, of each gap between two parts of the answer, plus
+/// the transfer time of a large page on the node's link.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Number of partitions that are read concurrently.
--- a/crates/node/tests/order_log.rs
+++ b/crates/node/tests/order_log.rs
@@ -1,4 +1,4 @@
-//! Orders to instances on record, while a partition of the store is down.
+//! The log of orders to instances while a partition of the store is down.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -8,12 +8,14 @@
 
 const PARTS: u32 = 4;
 
+/// A platform on loopback.
 async fn platform() -> Platform {
     let host = IpAddr::V4(Ipv4Addr::LOCALHOST);
     let started = Platform::start(host, &[], 1).await;
     started.expect("the platform starts on loopback")
 }
 
+/// Faults with one partition of the store down.
 fn down(part: u64) -> Faults {
     Faults {
         part_down: Some(part),
@@ -21,9 +23,9 @@
     }
 }
 
-/// Jobs are accepted and come late. One partition of the store is down, the others take the
-/// jobs, but the orders that would bring instances to them went to that partition alone and were
-/// never given. They go on record in the next one, and whoever owns the cell next finds them.
+/// Guards against jobs that are accepted but wait for instances: one partition of the store is
+/// down, and orders to instances that go to this partition only are never issued. They are recorded
+/// in the next partition instead, where the next owner finds them.
 #[tokio::test]
 async fn next_partition() {
     let platform = platform().await;
@@ -39,8 +41,8 @@
     assert_eq!(names, ["m1"]);
 }
 
-/// Two owners order one instance within seconds. The new one reads three partitions of four, and
-/// takes what stands there for all. It is told that it does not know.
+/// Guards against two owners that order the same instance within seconds: a new owner can read only
+/// three of four partitions and takes their records for all there are. The read fails instead.
 #[tokio::test]
 async fn unread_is_unknown() {
     let platform = platform().await;
@@ -49,7 +51,7 @@
     assert!(OrderLog::new(PARTS).read(&store).await.is_none());
 }
 
-/// With every partition down nothing is on record, and the order is not given.
+/// With every partition down the write fails, so the order is not issued.
 #[tokio::test]
 async fn all_down() {
     let platform = platform().await;
