--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -34,8 +34,8 @@
         self.newest = Some(claim);
     }
 
-    /// Returns this node's claim for the ownership with this epoch; `None` if its newest claim was for
-    /// another epoch.
+    /// Returns this node's claim for the ownership with this epoch; `None` if its newest claim was
+    /// for another epoch.
     pub fn for_epoch(&self, epoch: u64) -> Option<Claim> {
         self.newest.filter(|c| c.epoch == epoch)
     }
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -34,7 +34,7 @@
 /// and rejects further ones while 32 are waiting, so more calls would only move the queue there.
 const MAX_ADVICE_CALLS: usize = 4;
 
-/// Timeout of a call to the policy service, on top of the wait that the service announces.
+/// Timeout of a call to the policy service, above the answer time that the service states.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time for the round trip to a relay and for the relay's own queue, on top of the order's timeout.
@@ -326,11 +326,14 @@
             .spawn(async move { journal.clear_intake(&jobs).await });
     }
 
-    /// Asks the policy service which of these workers suit a step.
+    /// Asks the policy service which of these workers may run a step.
     fn ask_advice(&mut self, step: StepId, workers: Vec<WorkerId>) {
         let events = self.events.clone();
         let Some(policy) = self.policy.clone() else {
-            log::error!(step:% = step; "queue has a policy but the settings name no policy service");
+            log::error!(
+                step:% = step;
+                "queue has a policy but the settings name no policy service"
+            );
             return;
         };
         let slots = self.advice_slots.clone();
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -50,14 +50,15 @@
 /// Timeout of a call to the platform's instance service.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Margin on the time for which an instance stays reserved after an order, on top of the order's
-/// own duration and the timeout of the call that issues it.
+/// Margin on the time for which an instance stays reserved after an order, on top of the order time
+/// in the settings and the timeout of the call that issues the order.
 const RESERVATION_MARGIN: Duration = Duration::from_millis(400);
 
 /// Status of an order that was not issued, because it was not recorded or the ownership has ended.
 const NOT_RECORDED: u16 = 0;
 
-/// Number of low bits of an order token that count the orders of one owner; the epoch is above.
+/// Number of low bits of an order token that count an owner's orders; the bits above hold the
+/// epoch.
 const TOKEN_BITS: u32 = 20;
 
 /// Partition in which the status of waves is published.
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Names of the services that may serve as spare capacity.
+    /// Names of the spare services, whose instances are off until they are moved to another pool.
     fn spare_services(&self) -> Vec<ServiceName> {
         let Some(config) = self.shared.config.load_full() else {
             return Vec::new();
@@ -242,8 +243,8 @@
                 if let Some(worker) = &worker {
                     cell.send_away(worker);
                 }
-                // Each order has its own token, so that an earlier order that arrives late is fenced
-                // off by a later one and cannot move the instance back.
+                // Each order has its own token, so that an earlier order that arrives late is
+                // fenced off by a later one and cannot move the instance back.
                 self.token += 1;
                 orders.push(QueuedOrder {
                     order,
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -19,7 +19,8 @@
 /// Timeout of an append that drops keys from the intake.
 const DROP_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time without an answer after which a stalled append is logged.
+/// Time without an answer after which an append counts as stalled. This is logged, and the append
+/// is abandoned once the owner is gone.
 const STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Pause before a failed append is retried.
@@ -104,7 +105,10 @@
                     return Ok(());
                 }
                 Err(AppendError::Fenced) => {
-                    log::warn!(epoch = self.epoch, seq = producer.seq; "journal is fenced off by a newer owner");
+                    log::warn!(
+                        epoch = self.epoch, seq = producer.seq;
+                        "journal is fenced off by a newer owner"
+                    );
                     return Err(Superseded);
                 }
                 Err(AppendError::Sequence {
@@ -112,7 +116,10 @@
                 }) if expected < producer.seq => self.seq.store(expected, Ordering::Release),
                 Err(e) => {
                     if !std::mem::replace(&mut failing, true) {
-                        log::warn!(error:% = e, seq = producer.seq; "journal append failed; retrying");
+                        log::warn!(
+                            error:% = e, seq = producer.seq;
+                            "journal append failed; retrying"
+                        );
                     }
                     sleep(RETRY_PAUSE).await;
                 }
--- a/crates/node/src/order_log.rs
+++ b/crates/node/src/order_log.rs
@@ -30,7 +30,8 @@
 #[derive(Debug)]
 pub struct OrderLog {
     parts: u32,
-    /// Partition to try first: the last one that accepted records, or the one after the last failed.
+    /// Partition to try first: the last one that accepted records, or the one after the last that
+    /// failed.
     preferred: AtomicU32,
 }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -75,7 +75,10 @@
                 return;
             }
             Err(e @ TakeoverError::TooLarge { .. }) => {
-                log::error!(epoch = epoch, error:% = e; "takeover abandoned; leaving the cell to other nodes");
+                log::error!(
+                    epoch = epoch, error:% = e;
+                    "takeover abandoned; leaving the cell to other nodes"
+                );
                 shared.decline();
                 return;
             }
@@ -192,7 +195,10 @@
             for output in outputs {
                 match output {
                     Output::Deposed { worker, .. } => {
-                        log::warn!(worker:% = worker; "worker has seen the fencing token of a newer owner");
+                        log::warn!(
+                            worker:% = worker;
+                            "worker has seen the fencing token of a newer owner"
+                        );
                         deposed = true;
                     }
                     Output::Accepted(jobs) => self.hand_ins.accepted(&jobs),
--- a/crates/node/src/record_writer.rs
+++ b/crates/node/src/record_writer.rs
@@ -69,7 +69,10 @@
                 return;
             }
             let count = records.len() as u64;
-            log::info!(topic = partition.topic, records = count, error:% = e; "failed to write records; retrying");
+            log::info!(
+                topic = partition.topic, records = count, error:% = e;
+                "failed to write records; retrying"
+            );
             sleep(RETRY_PAUSE).await;
         }
     }
--- a/crates/node/src/relay_client.rs
+++ b/crates/node/src/relay_client.rs
@@ -1,4 +1,4 @@
-//! Forwards orders to one relay.
+//! The owner's side of a relay: forwards orders to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,31 +13,33 @@
 use crate::relay_request::{Envelope, RelayRequest};
 use crate::shared::Shared;
 
-/// Time for a relay to say that it has an order.
+/// Timeout of a message to a relay, not counting the queueing time on the link.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Messages to one relay that are under way at a time.
+/// Number of messages to one relay in flight.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// Largest message, in bytes.
+/// Size from which a message is sent, in bytes; further orders go into the next one.
 const MAX_MESSAGE_SIZE: usize = 32 << 10;
 
-/// Messages that may wait for a relay; one that is so far behind counts as lost.
+/// Capacity of the send queue of a relay. A relay whose queue is full counts as lost.
 const QUEUE_CAPACITY: usize = 256;
 
-/// Forwards orders to one relay, until it is dropped.
+/// Forwards orders to one relay, until the client is dropped.
 pub(crate) struct RelayClient {
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
     epoch: u64,
     node: NodeName,
     addr: SocketAddr,
-    /// What is to go out next.
+    /// Orders for the next message.
     envelopes: Vec<Envelope>,
     requests: mpsc::Sender<RelayRequest>,
 }
 
 impl RelayClient {
+    /// Starts a client for the relay `node` at `addr`. If the relay fails, the client sends
+    /// [`Event::RelayLost`].
     pub(crate) fn start(
         shared: Arc<Shared>,
         events: mpsc::Sender<Event>,
@@ -59,21 +61,23 @@
         }
     }
 
+    /// Whether no orders wait for [`Self::send`].
     pub(crate) fn is_empty(&self) -> bool {
         self.envelopes.is_empty()
     }
 
+    /// Adds an order to the next message.
     pub(crate) fn add(&mut self, envelope: Envelope) {
         self.envelopes.push(envelope);
     }
 
-    /// Where the relay takes orders, and what it has been sent.
+    /// The relay's address, which also serves the specs that it has been sent.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends what was added; the ownership was confirmed then, on the relay's clock. What a job
-    /// runs is left out where `origin` knows a node that has it.
+    /// Sends the added orders. `confirmed` is when the ownership was confirmed, on the relay's
+    /// clock. A job's spec is omitted if `origin` gives the address of a node that has it.
     pub(crate) fn send(
         &mut self,
         confirmed: Time,
@@ -94,6 +98,7 @@
         }
     }
 
+    /// Sends orders as one message.
     fn send_chunk(
         &self,
         envelopes: Vec<Envelope>,
@@ -110,15 +115,19 @@
         };
         request.extract_specs(origin);
         if self.requests.try_send(request).is_err() {
-            let lost = Event::RelayLost(self.node.clone(), "far behind");
+            let lost = Event::RelayLost(self.node.clone(), "send queue is full");
             if self.events.try_send(lost).is_err() {
-                log::warn!(relay:% = self.node; "relay is far behind, and so is the owner");
+                log::warn!(
+                    relay:% = self.node;
+                    "send queue of the relay and event queue of the owner are full"
+                );
             }
         }
     }
 }
 
-/// Forwards each request, until one does not arrive or the client is gone.
+/// Sends queued requests to the relay until the client is dropped. Reports the relay as lost if it
+/// cannot be reached, or if a request is not accepted within `limit`.
 async fn forward(
     node: NodeName,
     addr: SocketAddr,
@@ -128,7 +137,7 @@
 ) {
     let lost = |why| Event::RelayLost(node.clone(), why);
     let Some(link) = OwnerLink::connect(addr).await else {
-        let _ = events.send(lost("cannot be reached")).await;
+        let _ = events.send(lost("connection failed")).await;
         return;
     };
     let slots = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
@@ -137,7 +146,7 @@
             return;
         };
         let (link, events) = (link.clone(), events.clone());
-        let lost = lost("does not take its orders");
+        let lost = lost("orders were not accepted");
         tokio::spawn(async move {
             let _slot = slot;
             if link.submit(request, limit).await != Some(true) {
--- a/crates/node/src/relay_request.rs
+++ b/crates/node/src/relay_request.rs
@@ -1,4 +1,4 @@
-//! Orders that go through a relay, and what it reports of them.
+//! Messages between the owner and its relays: orders, and reports of their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,8 @@
 /// An order to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Order {
-    /// Renew its lease and look at it, in place of any earlier look that is under way.
+    /// Renew the worker's lease and poll its status, in place of any earlier poll in flight. The
+    /// number identifies the poll.
     #[serde(rename = "Look")]
     Poll(u64, HoldOrder),
     /// Start a run.
@@ -25,7 +26,7 @@
     Pace(PaceOrder),
 }
 
-/// An order and the worker that it is for.
+/// An order, addressed to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Envelope {
     pub(crate) worker: WorkerId,
@@ -33,47 +34,48 @@
     pub(crate) order: Order,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Report {
-    /// A look's outcome, by its number.
+    /// The outcome of the poll with this number.
     #[serde(rename = "Looked")]
     Polled(WorkerId, u64, Result<Look, LookError>),
-    /// The same as a relay tells it, without what was told before.
+    /// The outcome of a poll as sent by a relay, as a delta to an earlier one.
     #[serde(rename = "Seen")]
     Delta(WorkerId, u64, SeenLook),
-    /// A start order's outcome.
+    /// The outcome of a start order.
     Started(WorkerId, TaskId, u32, StartOutcome),
-    /// A throttle order's outcome.
+    /// The outcome of a throttle order.
     Paced(WorkerId, PaceOrder, PlainOutcome),
 }
 
-/// Orders for one relay, sent together.
+/// A message with orders for one relay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RelayRequest {
-    /// Number of the ownership under which they are given.
+    /// Epoch of the owner that gives the orders.
     pub(crate) epoch: u64,
-    /// Where the owner takes reports.
+    /// Address to which the owner expects reports.
     pub(crate) owner: SocketAddr,
-    /// When the ownership was confirmed, on the relay's clock.
+    /// When the ownership was last confirmed, on the relay's clock.
     pub(crate) confirmed: Time,
-    /// Time after that from which no start is ordered, in milliseconds.
+    /// How long after `confirmed` the relay may send start orders, in milliseconds.
     pub(crate) expiry: u64,
-    /// What each job runs; the orders themselves leave it out.
+    /// The spec of each job with start orders; the orders themselves omit it.
     pub(crate) specs: Vec<(JobId, SpecSource)>,
     pub(crate) envelopes: Vec<Envelope>,
 }
 
-/// How a relay comes by what a job runs.
+/// How a relay obtains a job's spec.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum SpecSource {
-    /// It is here.
+    /// The spec itself.
     Text(Arc<str>),
-    /// The node at this address has it, and the relay may have it from there already.
+    /// The spec has this digest and can be fetched from the node at this address, unless the relay
+    /// has cached it already.
     Cached(SpecDigest, SocketAddr),
 }
 
-/// What became of a relay's orders, sent together.
+/// A message with the outcomes of orders sent by a relay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Reports {
     pub(crate) epoch: u64,
@@ -82,8 +84,9 @@
 }
 
 impl RelayRequest {
-    /// Names what each job runs once, however many of its tasks start; by its digest where
-    /// `origin` knows a node that has it.
+    /// Moves the specs out of the start orders, so that each job's spec is sent only once however
+    /// many of its tasks start. A spec is replaced by its digest if `origin` gives the address of a
+    /// node that has it.
     pub(crate) fn extract_specs(&mut self, mut origin: impl FnMut(JobId) -> Option<SocketAddr>) {
         let mut specs: Map<JobId, Arc<str>> = Map::default();
         for envelope in &mut self.envelopes {
@@ -102,8 +105,8 @@
         self.specs = specs.collect();
     }
 
-    /// Puts what each job runs back into its orders, as far as it is at hand here; gives the
-    /// orders for which it has to be fetched first.
+    /// Puts the specs back into the start orders, as far as they are in the request or in the cache
+    /// `specs`. Removes and returns the orders whose spec has to be fetched first.
     pub(crate) fn restore_specs(&mut self, specs: &mut SpecCache) -> Vec<IncompleteOrder> {
         let sources: Map<JobId, SpecSource> = self.specs.drain(..).collect();
         for source in sources.values() {
@@ -140,19 +143,19 @@
     }
 }
 
-/// A start order for which what the job runs has to be fetched.
+/// A start order whose spec has to be fetched.
 #[derive(Debug)]
 pub(crate) struct IncompleteOrder {
     pub(crate) envelope: Envelope,
     pub(crate) digest: SpecDigest,
-    /// The node that has it.
+    /// Address of a node that has the spec.
     pub(crate) origin: SocketAddr,
 }
 
 impl Envelope {
-    /// About what it takes up in a request, in bytes.
+    /// Approximate size in a request, in bytes.
     pub(crate) fn size(&self) -> usize {
-        /// Names, addresses and numbers.
+        /// Size of an order's names, addresses and numbers.
         const ORDER_SIZE: usize = 80;
         match &self.order {
             Order::Start(start) => ORDER_SIZE + start.spec.len() + start.checkpoint.len(),
@@ -162,9 +165,9 @@
 }
 
 impl Report {
-    /// About what it takes up in a message, in bytes.
+    /// Approximate size in a message, in bytes.
     pub(crate) fn size(&self) -> usize {
-        /// Names and numbers of a report, and of a row of a look.
+        /// Size of the names and numbers of a report, and of each row of a poll.
         const ROW_SIZE: usize = 60;
         match self {
             Self::Polled(_, _, Ok(look)) => ROW_SIZE * (1 + look.running.len() + look.ended.len()),
--- a/crates/node/src/relay_server.rs
+++ b/crates/node/src/relay_server.rs
@@ -1,4 +1,5 @@
-//! Relays orders for an owner on another node: offers to, takes requests, reports.
+//! The relay's side: offers to relay orders for an owner on another node, sends the orders to
+//! workers, and reports their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,45 +18,47 @@
 use crate::shared::Shared;
 use crate::spec_fetcher::SpecFetcher;
 
-/// Time between heartbeats of a relay.
+/// Interval between heartbeats of a relay.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time between offers of a node that is not wanted, half of it up to all of it.
+/// Upper limit of the interval between offers of a node whose last offer was declined. The actual
+/// interval is drawn at random from half of this up to all of it.
 const OFFER_INTERVAL: Duration = Duration::from_millis(4_000);
 
-/// Wait of a node with one core before its first offer; one with less waits for longer in
-/// proportion, so that those with more capacity come first.
+/// Delay of the first offer of a node with one core, in inverse proportion to the cores, so that
+/// nodes with more capacity offer first.
 const SINGLE_CORE_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest such wait.
+/// Longest delay of the first offer.
 const MAX_OFFER_DELAY: Duration = Duration::from_millis(800);
 
-/// Time for an answer of the owner.
+/// Timeout of a call to the owner. Reports get the queueing time on the link in addition.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Reports that may wait.
+/// Capacity of the queue of reports.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// Largest message, in bytes.
+/// Size from which a message is sent, in bytes; further reports go into the next one.
 const MAX_MESSAGE_SIZE: usize = 32 << 10;
 
-/// Times that reports are told before they are left to the owner's own time limit.
+/// Number of attempts to send reports. After that they are dropped, and the orders time out at the
+/// owner.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// An owner on another node, as a relay knows it.
+/// An owner on another node, as the receiver of order outcomes.
 #[derive(Clone)]
 struct RemoteOwner {
     shared: Arc<Shared>,
     /// When the ownership was last known to be confirmed, on this node's clock.
     confirmed: Arc<AtomicU64>,
-    /// Time after that from which no start is ordered, in milliseconds.
+    /// How long after `confirmed` start orders may be sent, in milliseconds.
     expiry: Arc<AtomicU64>,
     reports: mpsc::Sender<Report>,
 }
 
 impl OrderSink for RemoteOwner {
     async fn deliver(&self, report: Report) {
-        // With another owner at work there is nobody to tell.
+        // A failed send means that another owner has replaced this one.
         let _ = self.reports.send(report).await;
     }
 
@@ -70,7 +73,7 @@
     }
 }
 
-/// Orders of one ownership.
+/// The state for the owner that this node relays orders for.
 struct OwnerSession {
     epoch: u64,
     confirmed: Arc<AtomicU64>,
@@ -78,7 +81,7 @@
     sender: OrderSender<RemoteOwner>,
 }
 
-/// Relays orders for an owner on another node.
+/// Relays orders for the newest owner on another node.
 pub(crate) struct RelayServer {
     shared: Arc<Shared>,
     session: Mutex<Option<OwnerSession>>,
@@ -86,6 +89,7 @@
 }
 
 impl RelayServer {
+    /// Creates a relay that has no owner yet.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self {
             fetcher: SpecFetcher::new(shared.clone()),
@@ -94,7 +98,8 @@
         }
     }
 
-    /// Takes orders; false if a newer owner's were taken before.
+    /// Accepts orders and sends them to their workers. Returns false if this node already relays
+    /// for a newer owner.
     pub(crate) fn accept(self: &Arc<Self>, mut request: RelayRequest) -> bool {
         let incomplete = request.restore_specs(&mut self.shared.specs());
         let mut session = self.lock();
@@ -120,7 +125,7 @@
         true
     }
 
-    /// Submits start orders once what their jobs run was fetched.
+    /// Fetches the spec that start orders lack, then submits them. Rejects them if the fetch fails.
     async fn submit_fetched(
         self: Arc<Self>,
         epoch: u64,
@@ -132,7 +137,7 @@
         };
         let spec = self.fetcher.fetch(digest, origin).await;
         let mut session = self.lock();
-        // A newer owner settles by itself what became of these.
+        // If a newer owner has taken over, it determines the state of these runs itself.
         let Some(session) = session.as_mut().filter(|s| s.epoch == epoch) else {
             return;
         };
@@ -147,8 +152,12 @@
         }
     }
 
+    /// Starts relaying for the owner that sent a request.
     fn start_session(&self, request: &RelayRequest) -> OwnerSession {
-        log::info!(epoch = request.epoch, owner:% = request.owner; "orders are carried for an owner");
+        log::info!(
+            epoch = request.epoch, owner:% = request.owner;
+            "orders are carried for an owner"
+        );
         let (reports, queue) = mpsc::channel(QUEUE_CAPACITY);
         let confirmed = Arc::new(AtomicU64::new(0));
         let expiry = Arc::new(AtomicU64::new(request.expiry));
@@ -173,7 +182,7 @@
     }
 }
 
-/// Orders by what their jobs run.
+/// Groups orders by the digest of their spec.
 fn group_by_digest(incomplete: Vec<IncompleteOrder>) -> Map<SpecDigest, Vec<IncompleteOrder>> {
     let mut orders: Map<SpecDigest, Vec<IncompleteOrder>> = Map::default();
     for order in incomplete {
@@ -182,7 +191,7 @@
     orders
 }
 
-/// Tells the owner what became of its orders, all that waits in one message.
+/// Sends queued reports to the owner, as many as fit into each message.
 async fn send_reports(
     shared: Arc<Shared>,
     epoch: u64,
@@ -228,7 +237,7 @@
     }
 }
 
-/// Leaves out of a look what the owner was told before.
+/// Reduces a poll result to a delta to what the owner was sent before.
 fn fold_poll(shared: &Shared, folded: &mut Told, report: Report) -> Report {
     match report {
         Report::Polled(worker, number, Ok(look)) => {
@@ -239,7 +248,8 @@
     }
 }
 
-/// Offers to relay orders for whoever owns the cell, for as long as the node runs.
+/// Offers to relay orders for the current owner of the cell, for as long as the node runs. While
+/// the node is a relay, the repeated offers serve as heartbeats.
 pub(crate) async fn offer_relay(shared: Arc<Shared>) {
     let cores = shared.settings.cores;
     let delay = SINGLE_CORE_DELAY.div_f64(cores).min(MAX_OFFER_DELAY);
@@ -280,6 +290,7 @@
     }
 }
 
+/// This node's offer.
 fn build_offer(shared: &Shared) -> Offer {
     let settings = &shared.settings;
     let link = settings.link.bytes_in(Duration::from_secs(1));
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -67,7 +67,7 @@
         /// Largest size that this node accepts, in bytes.
         limit: usize,
     },
-    /// A record cannot be decoded. Continuing without it could run its job twice.
+    /// A record cannot be decoded. Continuing without it would run work twice.
     #[error("journal of job {0}: {1}")]
     Record(JobId, BadRecord),
 }
@@ -216,7 +216,10 @@
     match decode::<OrderRecord>(&item.value) {
         Ok(order) => Some((InstanceName::from(item.key.as_str()), order)),
         Err(e) => {
-            log::error!(instance = item.key, error:% = e; "cannot decode the record of an instance order");
+            log::error!(
+                instance = item.key, error:% = e;
+                "cannot decode the record of an instance order"
+            );
             None
         }
     }
@@ -267,7 +270,10 @@
             Err(AppendError::Fenced) => return Err(TakeoverError::Deposed),
             Err(e) => {
                 shared.metrics.append_failed("journal");
-                log::info!(epoch = epoch, error:% = e; "cannot fence off earlier owners yet; retrying");
+                log::info!(
+                    epoch = epoch, error:% = e;
+                    "cannot fence off earlier owners yet; retrying"
+                );
                 sleep(RETRY_PAUSE).await;
             }
         }
