--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -22,7 +22,7 @@
 use crate::link_load::LinkLoad;
 use crate::order_sender::{ORDER_TIMEOUT, OrderSender, OrderSink, POLL_TIMEOUT};
 use crate::owner_stats::OwnerStats;
-use crate::peer_traffic::link_bytes;
+use crate::peer_traffic::total_traffic;
 use crate::relay_client::RelayClient;
 use crate::relay_request::{Envelope, Order, Report, Reports};
 use crate::shared::Shared;
@@ -67,7 +67,7 @@
     }
 
     fn holds_ownership(&self) -> bool {
-        self.shared.leads()
+        self.shared.holds_ownership()
     }
 }
 
@@ -126,8 +126,8 @@
             roster_complete: false,
             last_check: shared.clock.now(),
             stats: OwnerStats::new(shared.clock.now()),
-            outbound: LinkLoad::new(shared.clock.now(), link_bytes().0, HIGH_OUTBOUND_SHARE),
-            inbound: LinkLoad::new(shared.clock.now(), link_bytes().1, HIGH_INBOUND_SHARE),
+            outbound: LinkLoad::new(shared.clock.now(), total_traffic().0, HIGH_OUTBOUND_SHARE),
+            inbound: LinkLoad::new(shared.clock.now(), total_traffic().1, HIGH_INBOUND_SHARE),
             omit_specs: false,
             shared,
             events,
@@ -174,11 +174,11 @@
     /// a job's spec, and learns of relays that are sent one.
     pub(crate) fn flush(&mut self, origins: &mut SpecOrigins) {
         let now = self.shared.clock.now();
-        let (sent, _) = link_bytes();
+        let (sent, _) = total_traffic();
         let link = self.shared.settings.link;
         self.omit_specs = self.outbound.is_high(now, sent, link);
         let omit = self.omit_specs;
-        let age = self.shared.lead_age();
+        let age = self.shared.ownership_age();
         for (node, client) in &mut self.clients {
             if client.is_empty() {
                 continue;
@@ -204,7 +204,7 @@
 
     /// Whether the inbound load of the link is so high that this alone may delay answers.
     pub(crate) fn is_link_full(&mut self) -> bool {
-        let (_, received) = link_bytes();
+        let (_, received) = total_traffic();
         let now = self.shared.clock.now();
         self.inbound
             .is_high(now, received, self.shared.settings.link)
@@ -270,9 +270,9 @@
         let lost = self.relays.overdue(now);
         let relays = &self.relays;
         self.clients.retain(|node, _| relays.addr(node).is_some());
-        self.shared.metrics.relays(relays.count());
+        self.shared.metrics.set_relays(relays.count());
         if let Some(percent) = self.stats.log_due(now, self.relays.count()) {
-            self.shared.metrics.busy(percent);
+            self.shared.metrics.set_busy(percent);
         }
         lost.into_iter().map(unknown_outcome).collect()
     }
@@ -347,7 +347,7 @@
                 sleep(ADVICE_RETRY_PAUSE).await;
             }
             let good = answer.ok().map(|a| a.good);
-            let _ = events.send(Event::Advised(step, good)).await;
+            let _ = events.send(Event::PolicyAnswer(step, good)).await;
         });
     }
 
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -19,10 +19,10 @@
 use tokio::time::{sleep, timeout};
 
 use crate::claim::{Claim, Claims};
-use crate::expiry::{EXPIRY, expiry_for, page_time};
+use crate::expiry::{MIN_EXPIRY, expiry_for, page_time};
 use crate::owner_clock::OwnerClock;
 use crate::ownership::Ownership;
-use crate::peer::OwnerAt;
+use crate::peer::OwnerAddress;
 use crate::role::Role;
 use crate::shared::Shared;
 use crate::topics::OWNER;
@@ -141,7 +141,7 @@
     /// claims it again instead, or releases it if the node leaves it to others.
     async fn renew_or_release(&mut self) {
         let anew = self.shared.reclaim.swap(false, Ordering::AcqRel);
-        match anew && self.shared.declines() {
+        match anew && self.shared.claims_paused() {
             true => self.relinquish().await,
             false => self.write_record(anew).await,
         }
@@ -206,9 +206,9 @@
         let expiry = self
             .newest
             .as_ref()
-            .map_or(EXPIRY, |o| Duration::from_millis(o.expiry));
+            .map_or(MIN_EXPIRY, |o| Duration::from_millis(o.expiry));
         let left = expiry.saturating_sub(now.since(self.owner_clock.last_heard()));
-        if self.shared.declines() {
+        if self.shared.claims_paused() {
             self.read_records(OBSERVATION_PERIOD).await;
             return;
         }
@@ -220,7 +220,11 @@
         }
         // Stronger nodes would claim the ownership before this one, so read less often; a caller
         // on this node that gets no answer from the owner ends the pause early.
-        let _ = timeout(WEAKER_READ_INTERVAL, self.shared.missed.notified()).await;
+        let _ = timeout(
+            WEAKER_READ_INTERVAL,
+            self.shared.owner_unreachable.notified(),
+        )
+        .await;
         self.read_records(Duration::ZERO).await;
     }
 
@@ -270,7 +274,7 @@
         let weaker = |o: &Ownership| o.strength * PREEMPTION_RATIO <= strength;
         self.newest.as_ref().is_some_and(weaker)
             && now.since(self.owner_since) >= OBSERVATION_PERIOD
-            && self.shared.is_fresh()
+            && self.shared.is_config_fresh()
     }
 
     /// Claims the ownership after a delay, unless another record arrives meanwhile.
@@ -306,7 +310,7 @@
         } else {
             self.renewal_time
         };
-        let expiry = expiry_for(self.shared.least_expiry, renewal);
+        let expiry = expiry_for(self.shared.min_expiry, renewal);
         if claim {
             // An owner stops renewing leases before it releases the ownership.
             let exclusive = self.newest.as_ref().is_none_or(|o| o.released && o.settled);
@@ -340,7 +344,7 @@
         self.last_sent = sent;
         let limit = self
             .shared
-            .rtt
+            .append_rtt
             .limit()
             .clamp(MIN_STORE_TIMEOUT, STORE_TIMEOUT);
         let limit = limit + page_time(settings.link);
@@ -348,7 +352,7 @@
         match done.await {
             Ok(done) => {
                 self.shared.set_expiry(expiry);
-                self.shared.confirm_lead(sent);
+                self.shared.confirm_ownership(sent);
                 self.renewal_time = self.shared.clock.now().since(sent);
                 self.end_offset = done.end;
                 self.accept_record(record);
@@ -420,7 +424,7 @@
             self.owner_since = self.shared.clock.now();
             log::info!(owner:% = record.node, epoch = record.epoch; "new owner of the cell");
         }
-        let at = OwnerAt {
+        let at = OwnerAddress {
             node: record.node.clone(),
             addr: record.addr,
             epoch: record.epoch,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -122,7 +122,7 @@
             events.clone(),
         ));
         let times = Times {
-            maintaining: shared.settings.times.maintaining,
+            maintaining: shared.settings.times.maintenance,
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
@@ -173,7 +173,7 @@
                 let spread = rand::rng().random_range(0.0..1.0);
                 self.backoff.refused(self.shared.clock.now(), spread);
             }
-            _ => self.backoff.taken(),
+            _ => self.backoff.accepted(),
         }
         self.planner
             .ordered(self.shared.clock.now(), instance_of(order), outcome);
@@ -195,7 +195,10 @@
         }
         self.planned_at = now;
         // Without a confirmed ownership, another node may own the cell already.
-        if !self.shared.leads() || now < self.blocked_until || !self.backoff.is_over(now) {
+        if !self.shared.holds_ownership()
+            || now < self.blocked_until
+            || !self.backoff.is_elapsed(now)
+        {
             return;
         }
         let waves = self.shared.waves.load_full().unwrap_or_default();
@@ -312,7 +315,7 @@
                     order:? = item.order, token = item.token.fence, outcome:? = outcome;
                     "instance order finished"
                 );
-                let event = Event::Ordered(item.order, item.worker, outcome);
+                let event = Event::InstanceOrdered(item.order, item.worker, outcome);
                 let _ = events.send(event).await;
             });
         }
@@ -335,7 +338,7 @@
     item: &QueuedOrder,
     recorded: bool,
 ) -> InstanceOutcome {
-    let is_owner = !events.is_closed() && shared.leads();
+    let is_owner = !events.is_closed() && shared.holds_ownership();
     match recorded && is_owner {
         true => service.order(&item.order, &item.token, CALL_TIMEOUT).await,
         false => InstanceOutcome::Refused(NOT_RECORDED),
@@ -354,7 +357,11 @@
                     log::info!("instance list available again");
                 }
                 let size = instances.len() * INSTANCE_SIZE;
-                let min_pause = shared.settings.link.time_of(size).div_f64(LIST_LINK_SHARE);
+                let min_pause = shared
+                    .settings
+                    .link
+                    .transfer_time(size)
+                    .div_f64(LIST_LINK_SHARE);
                 let min_pause = min_pause.max(Duration::from_secs_f64(size as f64 / MAX_LIST_RATE));
                 let unchanged = previous.as_ref() == Some(&instances);
                 previous = Some(instances.clone());
--- a/crates/node/src/intake_follower.rs
+++ b/crates/node/src/intake_follower.rs
@@ -1,4 +1,4 @@
-//! Reads back what fronts have accepted, for the cell's owner.
+//! Reads the intake for the cell's owner: the submissions and cancels that front ends stored.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,39 +13,40 @@
 use crate::shared::Shared;
 use crate::topics::intake;
 
-/// How long a read of the intake waits for a record.
+/// How long a read of the intake waits for new records.
 const READ_WAIT: Duration = Duration::from_millis(2_000);
 
-/// Time for an answer beyond the wait.
+/// Timeout of a read, in addition to its wait.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause after a read that failed.
-const RETRY: Duration = Duration::from_millis(60);
+/// Pause after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What a read of one partition of the intake has brought.
+/// Result of a read of one partition of the intake.
 #[derive(Debug)]
-pub(crate) struct Intaken {
+pub(crate) struct IntakePage {
     pub(crate) part: u32,
     pub(crate) records: Vec<Keyed>,
-    /// Offset up to which every record was read.
+    /// Offset of the next record to read.
     pub(crate) next: u64,
-    /// When the read was sent, if it reached the partition's end.
-    pub(crate) whole: Option<Time>,
+    /// When the read was sent, if it reached the end of the partition: every record stored before
+    /// then is known.
+    pub(crate) complete_at: Option<Time>,
 }
 
-impl Intaken {
+impl IntakePage {
     fn new(part: u32, page: &Page, sent: Time) -> Self {
         let next = page.from + page.records.len() as u64;
         Self {
             part,
             records: page.records.iter().filter_map(Keyed::read).collect(),
             next,
-            whole: (next >= page.end).then_some(sent),
+            complete_at: (next >= page.end).then_some(sent),
         }
     }
 }
 
-/// Reads a partition of the intake once, from `from` on, for the sake of a question.
+/// Reads a partition of the intake once, starting at offset `from`, to answer a query.
 pub(crate) async fn read_intake(
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
@@ -58,19 +59,19 @@
         .read(intake(part), from, Duration::ZERO, READ_TIMEOUT);
     match page.await {
         Ok(page) => {
-            let read = Event::Intake(Intaken::new(part, &page, sent));
+            let read = Event::Intake(IntakePage::new(part, &page, sent));
             let _ = events.send(read).await;
         }
-        // Whoever asks on hears that nobody knows, after its own patience.
+        // The query stays pending until another read succeeds or its caller times out.
         Err(e) => {
-            log::info!(part = part, error:% = e; "intake not read for a question");
-            sleep(RETRY).await;
+            log::info!(part = part, error:% = e; "cannot read intake for a query");
+            sleep(RETRY_DELAY).await;
         }
     }
-    let _ = events.send(Event::IntakeRead(part)).await;
+    let _ = events.send(Event::IntakeReadDone(part)).await;
 }
 
-/// Follows a partition of the intake until nobody takes its records any more.
+/// Polls a partition of the intake, starting at offset `next`, until the owner is gone.
 pub(crate) async fn follow_intake(
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
@@ -88,24 +89,30 @@
                 if std::mem::take(&mut lost) {
                     log::info!(part = part; "intake regained");
                 }
-                let read = Intaken::new(part, &page, sent);
+                let read = IntakePage::new(part, &page, sent);
                 next = read.next;
                 let _ = events.send(Event::Intake(read)).await;
             }
             Err(ReadError::Deleted) => next = reread(&shared, &events, part, next).await,
             Err(e) => {
                 if !std::mem::replace(&mut lost, true) {
-                    log::warn!(part = part, error:% = e; "intake lost");
+                    log::warn!(part = part, error:% = e; "cannot read intake; retrying");
                 }
-                sleep(RETRY).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// The records between were deleted: the newest of each key has all that matters.
+/// Reads the newest record of each key and returns the offset from which to continue.
+///
+/// Used when records that were not read yet were deleted. The newest record of each key is enough,
+/// as intake records never change.
 async fn reread(shared: &Shared, events: &mpsc::Sender<Event>, part: u32, from: u64) -> u64 {
-    log::warn!(part = part, from = from; "intake records were deleted: reading the newest again");
+    log::warn!(
+        part = part, from = from;
+        "intake records were deleted; reading the newest record of each key"
+    );
     let mut after: Option<String> = None;
     let mut end = None;
     let limit = READ_TIMEOUT + page_time(shared.settings.link);
@@ -114,18 +121,18 @@
         let page = match page.await {
             Ok(page) => page,
             Err(e) => {
-                log::info!(error:% = e; "intake cannot be read again yet");
+                log::info!(error:% = e; "cannot read the newest intake records; retrying");
                 return from;
             }
         };
         let first = *end.get_or_insert(page.end);
         after = page.items.last().map(|i| i.key.clone());
         let records = page.items.into_iter().map(|i| Keyed::new(i.key, i.value));
-        let read = Intaken {
+        let read = IntakePage {
             part,
             records: records.collect(),
             next: first,
-            whole: None,
+            complete_at: None,
         };
         let _ = events.send(Event::Intake(read)).await;
         if !page.more {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! One process of the system on the platform: sockets, clocks and tasks around the pure parts.
+//! A node process: the sockets, clocks and tasks around the pure scheduling crates.
 //!
-//! Every node is a front for callers and follows the configuration. One of them at a time owns
-//! the cell: it schedules, and gives workers and instances their orders. Nothing is kept here;
-//! what must last goes through the platform's store.
+//! Every node serves callers' requests and follows the configuration. One node at a time owns the
+//! cell: it schedules jobs and sends orders to workers and instances. A node keeps no state on
+//! disk; all durable state is in the platform's store.
 
 mod answer;
 mod appending;
@@ -60,10 +60,10 @@
 pub use error::NodeError;
 pub use expiry::expiry_for;
 pub use link_load::LinkLoad;
-pub use link_rate::{BadRate, LinkRate};
+pub use link_rate::{InvalidRate, LinkRate};
 pub use logging::{init_log, record_fields};
 pub use node::run;
 pub use order_log::OrderLog;
-pub use overload::{Overload, silence_excess};
+pub use overload::{Overload, outage_excess};
 pub use owner_clock::OwnerClock;
 pub use settings::{Settings, SettingsError};
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -12,10 +12,10 @@
 use tokio::time::{sleep, timeout};
 
 use crate::dispatcher::Dispatcher;
-use crate::event::{Ask, Event};
+use crate::event::{Event, Query};
 use crate::fleet::Fleet;
 use crate::hand_ins::HandIns;
-use crate::intake_follower::{Intaken, follow_intake, read_intake};
+use crate::intake_follower::{IntakePage, follow_intake, read_intake};
 use crate::owner_handle::OwnerHandle;
 use crate::peer::{JobAnswer, QueueAnswer};
 use crate::relay_request::{Report, Reports};
@@ -23,7 +23,7 @@
 use crate::roster;
 use crate::shared::Shared;
 use crate::takeover::{TakeoverError, apply_intake, take_over};
-use crate::topics::part_of;
+use crate::topics::intake_part;
 use crate::view::{cell_view, job_view};
 
 /// Capacity of the event queue. Each sending task has only one or two events in flight.
@@ -55,8 +55,8 @@
                     log::warn!(epoch = epoch; "ownership ended; stopping the cell");
                 }
             }
-            shared.own.store(None);
-            shared.metrics.owns(0);
+            shared.local_owner.store(None);
+            shared.metrics.set_epoch(0);
         }
         if role.wait_for(|r| *r != now).await.is_err() {
             return;
@@ -79,7 +79,7 @@
                     epoch = epoch, error:% = e;
                     "takeover abandoned; leaving the cell to other nodes"
                 );
-                shared.decline();
+                shared.pause_claims();
                 return;
             }
             Err(e) => {
@@ -88,7 +88,7 @@
             }
         }
     };
-    shared.metrics.owns(epoch);
+    shared.metrics.set_epoch(epoch);
     let (events, inbox) = mpsc::channel(QUEUE_CAPACITY);
     let spawn_follower = |(part, from): (usize, &u64)| {
         let (shared, events) = (shared.clone(), events.clone());
@@ -123,7 +123,9 @@
         events: events.clone(),
         shared: shared.clone(),
     };
-    shared.own.store(Some(Arc::new(OwnerHandle { events })));
+    shared
+        .local_owner
+        .store(Some(Arc::new(OwnerHandle { events })));
     owner.run(inbox).await;
 }
 
@@ -186,7 +188,7 @@
             if let Some(fleet) = &mut self.fleet {
                 fleet.plan(&mut self.cell);
             }
-            self.cell.confirmed(self.shared.lead_age());
+            self.cell.confirmed(self.shared.ownership_age());
             self.cell.link_is_full(self.dispatcher.is_link_full());
             self.cell.name_specs(self.dispatcher.omits_specs());
             let outputs = self
@@ -207,7 +209,7 @@
             }
             self.dispatcher.flush(self.hand_ins.origins());
             self.dispatcher.add_busy(woken.elapsed());
-            self.shared.metrics.tallied(self.cell.take_tallies());
+            self.shared.metrics.add_tallies(self.cell.take_tallies());
             if deposed {
                 log::warn!("ownership ended: a newer owner is active");
                 return;
@@ -232,21 +234,21 @@
         match event {
             Event::HandIn(handed) => self.hand_ins.take(&self.cell, handed),
             Event::Intake(read) => self.handle_intake(read),
-            Event::IntakeRead(part) => {
+            Event::IntakeReadDone(part) => {
                 self.reads.over(part);
                 self.answer_parked();
             }
-            Event::Worker(entry) => {
+            Event::WorkerUpdated(entry) => {
                 self.dispatcher.add_worker(&entry);
                 self.cell.list(now, entry);
             }
-            Event::NoWorker(id) => {
+            Event::WorkerRemoved(id) => {
                 self.cell.unlist(now, &id);
                 self.dispatcher.remove_worker(&id);
             }
-            Event::Listed => self.dispatcher.mark_complete(),
+            Event::RosterComplete => self.dispatcher.mark_complete(),
             Event::Report(report) => self.handle_report(report),
-            Event::Relayed(reports, reply) => {
+            Event::RelayReports(reports, reply) => {
                 self.handle_relayed(reports);
                 // A relay that has stopped waiting sends its reports again, which is harmless.
                 let _ = reply.send(true);
@@ -267,7 +269,7 @@
                     fleet.set_instances(instances, sent);
                 }
             }
-            Event::Ordered(order, worker, outcome) => {
+            Event::InstanceOrdered(order, worker, outcome) => {
                 if let Some(fleet) = &mut self.fleet {
                     fleet.order_done(&mut self.cell, &order, worker.as_ref(), outcome);
                 }
@@ -277,22 +279,22 @@
                     self.dispatcher.remove_worker(worker);
                 }
             }
-            Event::Advised(step, good) => self.cell.advised(now, step, good),
-            Event::Ask(ask) => self.answer_query(ask),
+            Event::PolicyAnswer(step, good) => self.cell.advised(now, step, good),
+            Event::Query(query) => self.answer_query(query),
         }
         false
     }
 
     /// Answers a query. Failed sends are ignored: the caller has stopped waiting.
-    fn answer_query(&mut self, ask: Ask) {
-        match ask {
-            Ask::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
-            Ask::Standing(id, service, reply) => {
+    fn answer_query(&mut self, query: Query) {
+        match query {
+            Query::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
+            Query::Standing(id, service, reply) => {
                 let _ = reply.send((self.cell.standing(id), self.cell.waits(&service)));
             }
-            Ask::View(reply) => drop(reply.send(cell_view(&self.cell))),
-            Ask::Story(id, reply) => drop(reply.send(job_view(&self.cell, id))),
-            Ask::Queue(name, reply) => {
+            Query::CellView(reply) => drop(reply.send(cell_view(&self.cell))),
+            Query::JobView(id, reply) => drop(reply.send(job_view(&self.cell, id))),
+            Query::Queue(name, reply) => {
                 let pending = self.cell.pending(&name);
                 drop(reply.send(QueueAnswer::Pending(pending)));
             }
@@ -308,7 +310,7 @@
                     Ok(_) => "ok",
                     Err(_) => "failed",
                 };
-                self.shared.metrics.looked(outcome);
+                self.shared.metrics.polled(outcome);
                 self.cell.looked(now, &id, number, answer);
             }
             // The dispatcher has already expanded the poll deltas of relays.
@@ -333,14 +335,14 @@
     }
 
     /// Takes records read from the intake into the cell.
-    fn handle_intake(&mut self, read: Intaken) {
+    fn handle_intake(&mut self, read: IntakePage) {
         let now = self.shared.clock.now();
         for record in read.records {
             if let Some(value) = &record.value {
                 apply_intake(&self.shared, &mut self.cell, now, &record.key, value);
             }
         }
-        self.reads.taken(read.part, read.next, read.whole);
+        self.reads.taken(read.part, read.next, read.complete_at);
         self.answer_parked();
     }
 
@@ -376,10 +378,10 @@
     /// Whether the cell knows every job accepted before `since` in the intake partition of `id`.
     /// If not, starts a read of that partition where one is needed.
     fn is_up_to_date(&mut self, id: JobId, since: Time) -> bool {
-        if !self.shared.led_since(since) {
+        if !self.shared.ownership_confirmed_since(since) {
             return false;
         }
-        let part = part_of(id, self.shared.settings.parts);
+        let part = intake_part(id, self.shared.settings.parts);
         match self.reads.ask(part, since) {
             Known::Yes => true,
             Known::Wait => false,
--- a/crates/node/src/owner_handle.rs
+++ b/crates/node/src/owner_handle.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clock::Clock;
-use crate::event::{Ask, Event, Handed};
+use crate::event::{Event, HandInRequest, Query};
 use crate::peer::{HandInAnswer, JobAnswer, QueueAnswer};
 use crate::relay_request::Reports;
 
@@ -24,21 +24,21 @@
 impl OwnerHandle {
     /// Sends a query to the owner. If the owner is gone, the query is dropped along with its reply
     /// channel, so the caller's receiver fails at once.
-    async fn ask(&self, ask: Ask) {
-        let _ = self.events.send(Event::Ask(ask)).await;
+    async fn send_query(&self, query: Query) {
+        let _ = self.events.send(Event::Query(query)).await;
     }
 
     /// Looks up the state of a job.
     pub(crate) async fn job(&self, id: JobId) -> JobAnswer {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Job(id, reply)).await;
+        self.send_query(Query::Job(id, reply)).await;
         answer.await.unwrap_or(JobAnswer::NotOwner)
     }
 
     /// Looks up the number of pending jobs of a queue.
     pub(crate) async fn queue(&self, name: QueueName) -> QueueAnswer {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Queue(name, reply)).await;
+        self.send_query(Query::Queue(name, reply)).await;
         answer.await.unwrap_or(QueueAnswer::NotOwner)
     }
 
@@ -50,14 +50,14 @@
         service: ServiceName,
     ) -> Option<(Standing, Waits)> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Standing(id, service, reply)).await;
+        self.send_query(Query::Standing(id, service, reply)).await;
         answer.await.ok()
     }
 
     /// Returns the operators' view of the cell as JSON; `None` if the owner is gone.
     pub(crate) async fn cell_view(&self) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::View(reply)).await;
+        self.send_query(Query::CellView(reply)).await;
         answer.await.ok()
     }
 
@@ -65,7 +65,7 @@
     /// gone.
     pub(crate) async fn job_view(&self, id: JobId) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Ask::Story(id, reply)).await;
+        self.send_query(Query::JobView(id, reply)).await;
         answer.await.ok()?
     }
 
@@ -88,13 +88,13 @@
     ) -> HandInAnswer {
         let (reply, answer) = oneshot::channel();
         let until = Clock.now().after(limit);
-        let handed = Handed {
+        let request = HandInRequest {
             record,
             origin,
             until,
             reply,
         };
-        if self.events.send(Event::HandIn(handed)).await.is_err() {
+        if self.events.send(Event::HandIn(request)).await.is_err() {
             return HandInAnswer::Refused;
         }
         answer.await.unwrap_or(HandInAnswer::Unknown)
@@ -103,7 +103,7 @@
     /// Passes on the reports of a relay. Returns false if the owner is gone.
     pub(crate) async fn report(&self, reports: Reports) -> bool {
         let (reply, answer) = oneshot::channel();
-        let sent = self.events.send(Event::Relayed(reports, reply)).await;
+        let sent = self.events.send(Event::RelayReports(reports, reply)).await;
         sent.is_ok() && answer.await.unwrap_or(false)
     }
 }
--- a/crates/node/src/relay_server.rs
+++ b/crates/node/src/relay_server.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use crate::order_sender::{OrderSender, OrderSink};
-use crate::peer::OwnerLink;
+use crate::peer::PeerLink;
 use crate::relay_request::{IncompleteOrder, Order, RelayRequest, Report, Reports};
 use crate::shared::Shared;
 use crate::spec_fetcher::SpecFetcher;
@@ -218,7 +218,7 @@
         let mut arrived = false;
         for _ in 0..MAX_ATTEMPTS {
             if link.is_none() {
-                link = OwnerLink::connect(owner).await;
+                link = PeerLink::connect(owner).await;
             }
             let Some(to) = &link else {
                 continue;
@@ -254,7 +254,7 @@
     let cores = shared.settings.cores;
     let delay = SINGLE_CORE_DELAY.div_f64(cores).min(MAX_OFFER_DELAY);
     let mut offered_epoch = None;
-    let mut link: Option<OwnerLink> = None;
+    let mut link: Option<PeerLink> = None;
     loop {
         let Some(owner) = shared.owner.load_full() else {
             sleep(HEARTBEAT_INTERVAL).await;
@@ -269,7 +269,7 @@
             sleep(delay).await;
         }
         if link.as_ref().is_none_or(|l| l.addr != owner.addr) {
-            link = OwnerLink::connect(owner.addr).await;
+            link = PeerLink::connect(owner.addr).await;
         }
         let reply = match &link {
             Some(to) => to.enlist(build_offer(&shared), OWNER_TIMEOUT).await,
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -312,7 +312,7 @@
     let times = &shared.settings.times;
     Bounds {
         lease: times.lease.min(MAX_LEASE),
-        kept: times.kept,
+        kept: times.retention,
         pace: times.pace,
         stop: times.stop,
         batch: shared
