--- a/crates/cell/src/rank.rs
+++ b/crates/cell/src/rank.rs
@@ -1,54 +1,56 @@
-//! Which job goes first.
+//! The order in which jobs are scheduled.
 //!
-//! Jobs within their team's share go before those beyond it.
+//! Jobs within their team's share go before jobs beyond it.
 //!
-//! Answers a pool that is asked for several times what it holds, for some seconds, by jobs with
-//! an objective of their own: a job that can still meet its objective goes before one that
-//! cannot, among the former the one that has to start soonest.
+//! The order is designed for a pool that receives several times the work it has room for, for some
+//! seconds, from jobs that each have an objective for their completion time. A job that can still
+//! meet its objective goes before one that cannot; among those that can, the job with the earliest
+//! latest start time goes first.
 
 use cactuswheel_model::Time;
 use cactuswheel_work::Queue;
 
 use crate::job::Job;
 
-/// Multiple of its objective after which a job is worth nothing to its caller any more.
+/// Multiple of its objective after which a job is no longer useful to its caller.
 pub(crate) const LATE_FACTOR: f64 = 3.0;
 
-/// A rank with this end does not change by the time alone.
-const NEVER: Time = Time::new(u64::MAX);
+/// Expiry of a rank that does not change with the passing of time.
+const NO_EXPIRY: Time = Time::new(u64::MAX);
 
-/// Order of jobs; the least goes first.
+/// Scheduling rank of a job; the lowest rank goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     class: Class,
     priority: u32,
-    /// Work was begun: finishing it earns the most for what is left.
-    fresh: bool,
-    /// Time by which it has to start, or since when it waits.
+    /// Whether no task has started yet. Started jobs go first, since finishing them brings the most
+    /// benefit for the remaining work.
+    not_started: bool,
+    /// Latest start time that meets the objective, or for other classes the arrival time.
     at: Time,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
-    /// Runs until it is cancelled: it earns as long as it is at work.
+    /// Runs until it is cancelled, and is useful as long as it runs.
     Lasting,
     /// Can meet its objective.
     Timely,
-    /// Can be done while it is of some use.
+    /// Cannot meet its objective, but can be done while it is still useful.
     Late,
-    /// Is beyond its team's share, and can meet its objective.
+    /// Like `Timely`, but beyond its team's share.
     TimelyOverShare,
-    /// Is beyond its team's share, and can be done while it is of some use.
+    /// Like `Late`, but beyond its team's share.
     LateOverShare,
-    /// Is of no use any more, but was accepted.
+    /// No longer useful to its caller, but already accepted.
     Overdue,
 }
 
 impl Rank {
-    /// The same, whether the job has begun or not.
-    pub(crate) fn without_begun(self) -> Self {
+    /// Returns the rank without the preference for jobs that have started.
+    pub(crate) fn ignoring_started(self) -> Self {
         Self {
-            fresh: false,
+            not_started: false,
             ..self
         }
     }
@@ -58,12 +60,12 @@
         matches!(self.class, Class::Timely | Class::TimelyOverShare)
     }
 
-    /// Whether the job ends by itself, and can be done while it is of some use.
+    /// Whether the job ends by itself, and can be done while it is still useful.
     pub(crate) fn is_useful(&self) -> bool {
         !matches!(self.class, Class::Lasting | Class::Overdue)
     }
 
-    /// Whether the job cannot meet its objective any more, or is of no use at all.
+    /// Whether the job can no longer meet its objective.
     pub(crate) fn is_late(self) -> bool {
         matches!(
             self.class,
@@ -72,24 +74,24 @@
     }
 }
 
-/// The rank of a job at `now`, and until when it holds; its work takes `longer` times as long as
-/// its caller guesses.
-pub(crate) fn rank(job: &Job, queue: Option<&Queue>, longer: f64, now: Time) -> (Rank, Time) {
+/// Returns the rank of a job at `now`, and the time until which it is valid. `slowdown` is the
+/// factor by which the work takes longer than the caller's estimate.
+pub(crate) fn rank(job: &Job, queue: Option<&Queue>, slowdown: f64, now: Time) -> (Rank, Time) {
     let priority = queue.map_or(u32::MAX, |q| q.priority);
     if job.sub.lasting() {
         let rank = Rank {
             class: Class::Lasting,
             priority,
-            fresh: false,
+            not_started: false,
             at: job.arrived,
         };
-        return (rank, NEVER);
+        return (rank, NO_EXPIRY);
     }
     let (stretch, allowance) = queue.map_or((1.0, 0), |q| (q.stretch, q.allowance.get()));
-    let objective = job.chain() as f64 * longer * stretch + allowance as f64;
-    let left = remaining(job) as f64 * longer;
+    let objective = job.chain() as f64 * slowdown * stretch + allowance as f64;
+    let remaining = remaining_chain(job) as f64 * slowdown;
     let waited = now.since(job.arrived).as_millis() as f64;
-    let slack = objective - left - waited;
+    let slack = objective - remaining - waited;
     if slack >= 0.0 {
         let at = Time::new(now.get() + slack as u64);
         let rank = Rank {
@@ -98,12 +100,12 @@
                 false => Class::Timely,
             },
             priority,
-            fresh: !job.started,
+            not_started: !job.started,
             at,
         };
         return (rank, Time::new(at.get() + 1));
     }
-    let useful = waited + left <= objective * LATE_FACTOR;
+    let useful = waited + remaining <= objective * LATE_FACTOR;
     let class = match (useful, job.over_share) {
         (true, false) => Class::Late,
         (true, true) => Class::LateOverShare,
@@ -112,19 +114,19 @@
     let rank = Rank {
         class,
         priority,
-        fresh: !job.started,
+        not_started: !job.started,
         at: job.arrived,
     };
-    let rest = (objective * LATE_FACTOR - left - waited).max(0.0);
+    let useful_left = (objective * LATE_FACTOR - remaining - waited).max(0.0);
     let until = match useful {
-        true => Time::new(now.get() + rest as u64 + 1),
-        false => NEVER,
+        true => Time::new(now.get() + useful_left as u64 + 1),
+        false => NO_EXPIRY,
     };
     (rank, until)
 }
 
-/// Longest chain of work that is left, by the caller's estimates.
-fn remaining(job: &Job) -> u64 {
+/// Longest chain of steps that are not done, in milliseconds by the caller's estimates.
+fn remaining_chain(job: &Job) -> u64 {
     let steps = job.turns.iter().flat_map(|t| t.steps.iter().enumerate());
     let open = steps.filter(|(_, s)| !s.is_done());
     open.map(|(i, _)| job.tails[i]).max().unwrap_or_default()
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -370,8 +370,8 @@
         Some(LastOwner {
             life: last.life,
             clock: Time::new(last.clock),
-            heard: self.owner_clock.last_heard(),
-            since: self.owner_since,
+            last_heard: self.owner_clock.last_heard(),
+            first_heard: self.owner_since,
         })
     }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_adapter::{Instances, Keyed, Partition, STATUS_TOPIC, wave_status};
 use cactuswheel_capacity::{
-    Action, History, LastOwner, OrderRecord, Planner, Reserved, Snapshot, Times, reserved,
+    Action, History, LastOwner, OrderRecord, Planner, Reservation, Snapshot, Timings, reservations,
 };
 use cactuswheel_cell::{Cell, encode};
 use cactuswheel_model::{Map, Time};
@@ -92,7 +92,7 @@
     /// Otherwise two owners could order the same instance within seconds of each other, and it
     /// would be moved back and forth while it has work. An order is recorded before it is issued,
     /// so an earlier owner cannot have ordered an instance that has no record here.
-    reserved: Map<InstanceName, Reserved>,
+    reserved: Map<InstanceName, Reservation>,
     /// No instance may be ordered before this time.
     blocked_until: Time,
     /// Backoff after orders that could not be recorded or issued.
@@ -121,8 +121,8 @@
             service.clone(),
             events.clone(),
         ));
-        let times = Times {
-            maintaining: shared.settings.times.maintenance,
+        let times = Timings {
+            maintenance: shared.settings.times.maintenance,
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
@@ -132,7 +132,7 @@
         let now = shared.clock.now();
         // Without the records, any instance may have been ordered recently.
         let blocked = orders.is_none().then(|| now.after(wait));
-        let reserved = reserved(now, wait, orders.unwrap_or_default(), last);
+        let reserved = reservations(now, wait, orders.unwrap_or_default(), last);
         log::info!(
             instances = reserved.len() as u64, dated = last.is_some(), known = blocked.is_none();
             "instances reserved"
@@ -176,7 +176,7 @@
             _ => self.backoff.accepted(),
         }
         self.planner
-            .ordered(self.shared.clock.now(), instance_of(order), outcome);
+            .record_outcome(self.shared.clock.now(), instance_of(order), outcome);
         let Some(worker) = worker else {
             return;
         };
@@ -223,7 +223,7 @@
         for action in self.planner.plan(&snapshot) {
             self.execute(cell, action, &mut orders);
         }
-        cell.expect_maintenance(self.planner.due());
+        cell.expect_maintenance(self.planner.maintenance_due());
         if !orders.is_empty() && self.orders.send(orders).is_err() {
             log::error!("instance orders dropped: the task that issues them has ended");
         }
@@ -258,18 +258,18 @@
                     },
                 });
             }
-            Action::Close { worker, evacuate } => cell.close(&worker, evacuate),
+            Action::Close { worker, evict } => cell.close(&worker, evict),
             Action::Reopen(worker) => cell.reopen(&worker),
-            Action::Began { wave } => {
+            Action::RecordWaveStart { wave } => {
                 let at = encode(&self.shared.clock.wall());
                 self.waves.write(Keyed::new(wave.to_string(), at));
             }
-            Action::Maintained { wave, instance } => {
+            Action::RecordMaintained { wave, instance } => {
                 log::info!(wave = wave, instance:% = instance; "instance maintained");
                 let key = format!("{wave}/{instance}");
                 self.maintained.write(Keyed::new(key, vec![1]));
             }
-            Action::Status { wave, complete } => {
+            Action::ReportStatus { wave, complete } => {
                 log::info!(wave = wave, complete = complete; "publishing wave status");
                 let (key, value) = wave_status(wave, complete);
                 self.status.write(Keyed::new(key, value));
--- a/crates/node/src/hand_ins.rs
+++ b/crates/node/src/hand_ins.rs
@@ -51,7 +51,7 @@
                 return answer(request.reply, HandInAnswer::Refused);
             }
         };
-        if let Some(waits) = cell.refuses(&sub) {
+        if let Some(waits) = cell.overload_delay(&sub) {
             return answer(request.reply, HandInAnswer::Overloaded(waits));
         }
         self.waiting.push((sub, request));
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -77,7 +77,7 @@
         self.shared
             .metrics
             .journaled(self.shared.clock.now().since(start));
-        let _ = self.events.send(Event::Appended(batch.mark)).await;
+        let _ = self.events.send(Event::Appended(batch.number)).await;
         self.clear_intake(&finished).await;
     }
 
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwapOption;
-use cactuswheel_cell::{Slack, Waits};
+use cactuswheel_cell::{Slack, StartDelay};
 use cactuswheel_model::Time;
 
 /// Waiting times last reported by the owner.
@@ -13,11 +13,11 @@
 /// fill the owner's link and delay its other traffic. So until the reported waits have passed, a
 /// front end first sends the owner the job id only.
 #[derive(Debug, Default)]
-pub struct Overload(ArcSwapOption<(Time, Waits)>);
+pub struct Overload(ArcSwapOption<(Time, StartDelay)>);
 
 impl Overload {
-    /// Records the waits that the owner reported.
-    pub fn learn(&self, now: Time, waits: Waits) {
+    /// Records the delays that the owner reported.
+    pub fn learn(&self, now: Time, waits: StartDelay) {
         self.0.store(Some(Arc::new((now, waits))));
     }
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -210,7 +210,7 @@
     fn validate(&self) -> Option<(String, &'static str)> {
         let own = self.validate_own();
         let own = own.map(|(place, fault)| (place.to_owned(), fault));
-        let pools = self.policies.pools.fault();
+        let pools = self.policies.pools.validate();
         own.or(pools.map(|(place, fault)| (format!("policies.pools.{place}"), fault)))
     }
 
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -4,7 +4,7 @@
 
 use cactuswheel_adapter::{AppendError, Item, Partition, Producer};
 use cactuswheel_capacity::{History, OrderRecord};
-use cactuswheel_cell::{BadRecord, Bounds, Cell, JobRecord, decode};
+use cactuswheel_cell::{Bounds, Cell, DecodeError, JobRecord, decode};
 use cactuswheel_model::{Millis, Time};
 use cactuswheel_work::{InstanceName, JobId, Submission};
 use futures::{StreamExt, stream};
@@ -69,7 +69,7 @@
     },
     /// A record cannot be decoded. Continuing without it would run work twice.
     #[error("journal of job {0}: {1}")]
-    Record(JobId, BadRecord),
+    Record(JobId, DecodeError),
 }
 
 /// Result of a takeover.
@@ -202,7 +202,7 @@
     let maintained = maintained.iter().filter_map(|i| read_maintained(&i.key));
     let history = History {
         maintained: maintained.collect(),
-        begun: begun
+        wave_starts: begun
             .iter()
             .filter_map(|i| read_wave_start(shared, i))
             .collect(),
