--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,4 @@
-//! Owns the cell while the store says so: feeds it what happens and carries out what it asks.
+//! The cell's event loop on its owner: feeds events to the cell and executes its outputs.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -22,17 +22,17 @@
 use crate::role::Role;
 use crate::roster;
 use crate::shared::Shared;
-use crate::takeover::{TakeoverError, take_intake, take_over};
+use crate::takeover::{TakeoverError, apply_intake, take_over};
 use crate::topics::intake_part;
 use crate::view::{cell_view, job_view};
 
-/// Events that may wait; each task that sends them has one or two under way.
-const QUEUE: usize = 4_096;
+/// Capacity of the event queue. Each sending task has only one or two events in flight.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Pause after the cell could not be taken over.
+/// Pause before a failed takeover is retried.
 const TAKEOVER_RETRY: Duration = Duration::from_millis(300);
 
-/// Owns the cell whenever `role` says so.
+/// Runs the cell whenever `role` is [`Role::Owner`], until the sender of `role` is dropped.
 pub(crate) async fn run(shared: Arc<Shared>, mut role: watch::Receiver<Role>) {
     loop {
         let now = *role.borrow_and_update();
@@ -44,14 +44,15 @@
         {
             let mut changed = role.clone();
             tokio::select! {
-                () = own(shared.clone(), epoch, alone, before) => {
-                    // Failure: the ownership is renewed for a cell that nobody runs any more;
-                    // jobs stand still and no other node takes over. Claiming it anew under
-                    // the next number either takes the cell over again or shows who has it.
+                () = own_cell(shared.clone(), epoch, alone, before) => {
+                    // Without this, the node would keep renewing its ownership although it no
+                    // longer runs the cell: jobs would stall and no other node would take over.
+                    // Claiming the ownership again under the next epoch either takes the cell
+                    // over again or reveals the current owner.
                     shared.reclaim.store(true, Ordering::Release);
                 }
                 _ = changed.wait_for(|r| *r != now) => {
-                    log::warn!(epoch = epoch; "ownership is over");
+                    log::warn!(epoch = epoch; "ownership ended; stopping the cell");
                 }
             }
             shared.local_owner.store(None);
@@ -63,29 +64,33 @@
     }
 }
 
-/// Owns the cell until a newer owner is met.
-async fn own(shared: Arc<Shared>, epoch: u64, alone: bool, before: Option<LastOwner>) {
-    let taken = loop {
+/// Takes the cell over and runs it until a newer owner is detected, or until the cell turns out
+/// to be too large for this node.
+async fn own_cell(shared: Arc<Shared>, epoch: u64, alone: bool, before: Option<LastOwner>) {
+    let takeover = loop {
         match take_over(&shared, epoch, alone).await {
-            Ok(taken) => break taken,
+            Ok(takeover) => break takeover,
             Err(e @ TakeoverError::Deposed) => {
-                log::warn!(epoch = epoch, error:% = e; "cell not taken over");
+                log::warn!(epoch = epoch, error:% = e; "takeover abandoned");
                 return;
             }
             Err(e @ TakeoverError::TooLarge { .. }) => {
-                log::error!(epoch = epoch, error:% = e; "cell not taken over: others go first");
+                log::error!(
+                    epoch = epoch, error:% = e;
+                    "takeover abandoned; leaving the cell to other nodes"
+                );
                 shared.pause_claims();
                 return;
             }
             Err(e) => {
-                log::error!(epoch = epoch, error:% = e; "cell not taken over");
+                log::error!(epoch = epoch, error:% = e; "takeover failed; retrying");
                 sleep(TAKEOVER_RETRY).await;
             }
         }
     };
     shared.metrics.set_epoch(epoch);
-    let (events, inbox) = mpsc::channel(QUEUE);
-    let follow = |(part, from): (usize, &u64)| {
+    let (events, inbox) = mpsc::channel(QUEUE_CAPACITY);
+    let spawn_follower = |(part, from): (usize, &u64)| {
         let (shared, events) = (shared.clone(), events.clone());
         AbortOnDrop(tokio::spawn(follow_intake(
             shared,
@@ -94,20 +99,25 @@
             *from,
         )))
     };
-    let _intake: Vec<AbortOnDrop> = taken.intake.iter().enumerate().map(follow).collect();
+    let _intake: Vec<AbortOnDrop> = takeover
+        .offsets
+        .iter()
+        .enumerate()
+        .map(spawn_follower)
+        .collect();
     let _roster = AbortOnDrop(tokio::spawn(roster::follow(shared.clone(), events.clone())));
     let owner = Owner {
         fleet: Fleet::start(
             shared.clone(),
             events.clone(),
             epoch,
-            taken.past,
-            taken.orders,
+            takeover.history,
+            takeover.orders,
             before,
         ),
         dispatcher: Dispatcher::new(shared.clone(), events.clone(), epoch),
-        cell: taken.cell,
-        reads: IntakeProgress::new(taken.intake),
+        cell: takeover.cell,
+        reads: IntakeProgress::new(takeover.offsets),
         parked: Vec::new(),
         hand_ins: HandIns::new(shared.clone()),
         events: events.clone(),
@@ -119,6 +129,7 @@
     owner.run(inbox).await;
 }
 
+/// Aborts a task when it is dropped.
 struct AbortOnDrop(tokio::task::JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -127,29 +138,34 @@
     }
 }
 
-/// Somebody asks for a job that is not known: it may have been accepted a moment ago.
-struct Parked {
+/// A query for a job that the cell doesn't know. It is answered later, since the job may have been
+/// accepted just before the query.
+struct ParkedQuery {
     id: JobId,
+    /// When the query arrived.
     since: Time,
     reply: oneshot::Sender<JobAnswer>,
 }
 
+/// The state of a running owner.
 struct Owner {
     shared: Arc<Shared>,
     cell: Cell,
     dispatcher: Dispatcher,
-    /// `None` where the platform has no service for instances.
+    /// `None` if the settings name no instance service.
     fleet: Option<Fleet>,
+    /// How far each intake partition has been read.
     reads: IntakeProgress,
-    parked: Vec<Parked>,
+    parked: Vec<ParkedQuery>,
     hand_ins: HandIns,
     events: mpsc::Sender<Event>,
 }
 
-/// Longest time that the cell is not looked at.
+/// Longest sleep between two polls of the cell.
 const MAX_SLEEP: Duration = Duration::from_millis(100);
 
 impl Owner {
+    /// Handles events and polls the cell until a newer owner is detected.
     async fn run(mut self, mut inbox: mpsc::Receiver<Event>) {
         loop {
             let now = self.shared.clock.now();
@@ -158,14 +174,14 @@
             let woken = Instant::now();
             let mut deposed = false;
             if let Ok(Some(event)) = first {
-                deposed |= self.take(event);
+                deposed |= self.handle_event(event);
                 while let Ok(event) = inbox.try_recv() {
-                    deposed |= self.take(event);
+                    deposed |= self.handle_event(event);
                 }
             }
-            self.take_operators();
-            for report in self.dispatcher.overdue() {
-                self.take_report(report);
+            self.apply_operators();
+            for report in self.dispatcher.expire_overdue() {
+                self.handle_report(report);
             }
             self.hand_ins.hand_in(&mut self.cell);
             self.answer_parked();
@@ -174,14 +190,17 @@
             }
             self.cell.set_ownership_age(self.shared.ownership_age());
             self.cell.set_link_full(self.dispatcher.is_link_full());
-            self.cell.omit_specs(self.dispatcher.names_specs());
+            self.cell.omit_specs(self.dispatcher.omits_specs());
             let outputs = self
                 .cell
                 .poll(self.shared.clock.now(), self.shared.clock.wall());
             for output in outputs {
                 match output {
                     Output::Deposed { worker, .. } => {
-                        log::warn!(worker:% = worker; "a worker obeys a newer owner");
+                        log::warn!(
+                            worker:% = worker;
+                            "worker has seen the fencing token of a newer owner"
+                        );
                         deposed = true;
                     }
                     Output::Accepted(jobs) => self.hand_ins.accepted(&jobs),
@@ -189,17 +208,17 @@
                 }
             }
             self.dispatcher.flush(self.hand_ins.origins());
-            self.dispatcher.busy(woken.elapsed());
+            self.dispatcher.add_busy(woken.elapsed());
             self.shared.metrics.add_tallies(self.cell.take_tallies());
             if deposed {
-                log::warn!("ownership is over: a newer owner is at work");
+                log::warn!("ownership ended: a newer owner is active");
                 return;
             }
         }
     }
 
-    /// Takes over what the operators have written since.
-    fn take_operators(&mut self) {
+    /// Passes the newest configuration and the evacuated zones on to the cell.
+    fn apply_operators(&mut self) {
         let now = self.shared.clock.now();
         if let Some(config) = self.shared.config.load().as_ref()
             && config.version > self.cell.config_version()
@@ -210,66 +229,66 @@
             .set_evacuated_zones(now, &self.shared.evacuated.load());
     }
 
-    /// Takes an event; true if a newer owner is at work.
-    fn take(&mut self, event: Event) -> bool {
+    /// Handles an event. Returns true if it shows that a newer owner is active.
+    fn handle_event(&mut self, event: Event) -> bool {
         let now = self.shared.clock.now();
         match event {
             Event::HandIn(handed) => self.hand_ins.take(&self.cell, handed),
-            Event::Intake(read) => self.take_records(read),
+            Event::Intake(read) => self.handle_intake(read),
             Event::IntakeReadDone(part) => {
                 self.reads.finish_read(part);
                 self.answer_parked();
             }
             Event::WorkerUpdated(entry) => {
-                self.dispatcher.place(&entry);
+                self.dispatcher.add_worker(&entry);
                 self.cell.register_worker(now, entry);
             }
             Event::WorkerRemoved(id) => {
                 self.cell.unregister_worker(now, &id);
-                self.dispatcher.forget(&id);
+                self.dispatcher.remove_worker(&id);
             }
-            Event::RosterComplete => self.dispatcher.know_all(),
-            Event::Report(report) => self.take_report(report),
+            Event::RosterComplete => self.dispatcher.mark_complete(),
+            Event::Report(report) => self.handle_report(report),
             Event::RelayReports(reports, reply) => {
-                self.take_relayed(reports);
-                // A relay that has stopped waiting tells it again, which does no harm.
+                self.handle_relayed(reports);
+                // A relay that has stopped waiting sends its reports again, which is harmless.
                 let _ = reply.send(true);
             }
             Event::Offer(offer, reply) => {
-                // A node that has stopped waiting offers again.
+                // A node that has stopped waiting repeats its offer.
                 let _ = reply.send(self.dispatcher.offer(offer));
             }
             Event::RelayLost(node, why) => {
-                for report in self.dispatcher.lose_relay(&node, why) {
-                    self.take_report(report);
+                for report in self.dispatcher.drop_relay(&node, why) {
+                    self.handle_report(report);
                 }
             }
             Event::Appended(mark) => self.cell.appended(now, mark),
             Event::Deposed => return true,
             Event::Instances(instances, sent) => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.listed(instances, sent);
+                    fleet.set_instances(instances, sent);
                 }
             }
             Event::InstanceOrdered(order, worker, outcome) => {
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.ordered(&mut self.cell, &order, worker.as_ref(), outcome);
+                    fleet.order_done(&mut self.cell, &order, worker.as_ref(), outcome);
                 }
                 if outcome == InstanceOutcome::Done
                     && let Some(worker) = &worker
                 {
-                    self.dispatcher.forget(worker);
+                    self.dispatcher.remove_worker(worker);
                 }
             }
             Event::PolicyAnswer(step, good) => self.cell.advised(now, step, good),
-            Event::Query(ask) => self.answer(ask),
+            Event::Query(query) => self.answer_query(query),
         }
         false
     }
 
-    /// Answers a question; whoever has stopped waiting needs no answer.
-    fn answer(&mut self, ask: Query) {
-        match ask {
+    /// Answers a query. Failed sends are ignored: the caller has stopped waiting.
+    fn answer_query(&mut self, query: Query) {
+        match query {
             Query::Job(id, reply) => self.answer_job(id, self.shared.clock.now(), reply),
             Query::Standing(id, service, reply) => {
                 let _ = reply.send((self.cell.standing(id), self.cell.start_delay(&service)));
@@ -283,20 +302,20 @@
         }
     }
 
-    /// What became of an order to a worker.
-    fn take_report(&mut self, report: Report) {
+    /// Passes the outcome of an order to a worker on to the cell.
+    fn handle_report(&mut self, report: Report) {
         let now = self.shared.clock.now();
         match report {
-            Report::Looked(id, look, answer) => {
+            Report::Polled(id, number, answer) => {
                 let outcome = match &answer {
                     Ok(_) => "ok",
                     Err(_) => "failed",
                 };
                 self.shared.metrics.polled(outcome);
-                self.cell.poll_answered(now, &id, look, answer);
+                self.cell.poll_answered(now, &id, number, answer);
             }
-            // Relays' looks were made whole before.
-            Report::Seen(..) => {}
+            // The dispatcher has already expanded the poll deltas of relays.
+            Report::Delta(..) => {}
             Report::Started(id, task, run, outcome) => {
                 self.cell.start_answered(now, &id, task, run, outcome);
             }
@@ -304,27 +323,31 @@
         }
     }
 
-    fn take_relayed(&mut self, reports: Reports) {
-        for report in self.dispatcher.reported(reports) {
-            // Its relay may not have come by what the job runs.
+    /// Handles the reports of a relay.
+    fn handle_relayed(&mut self, reports: Reports) {
+        for report in self.dispatcher.accept_reports(reports) {
+            // The relay may have failed to fetch the job's spec, so send the full spec
+            // next time.
             if let Report::Started(_, task, _, StartOutcome::NotSent) = &report {
                 self.hand_ins.origins().remove(&task.job());
             }
-            self.take_report(report);
+            self.handle_report(report);
         }
     }
 
-    fn take_records(&mut self, read: IntakePage) {
+    /// Takes records read from the intake into the cell.
+    fn handle_intake(&mut self, read: IntakePage) {
         let now = self.shared.clock.now();
         for record in read.records {
             if let Some(value) = &record.value {
-                take_intake(&self.shared, &mut self.cell, now, &record.key, value);
+                apply_intake(&self.shared, &mut self.cell, now, &record.key, value);
             }
         }
         self.reads.mark_read(read.part, read.next, read.complete_at);
         self.answer_parked();
     }
 
+    /// Tries again to answer the parked queries.
     fn answer_parked(&mut self) {
         for parked in std::mem::take(&mut self.parked) {
             if !parked.reply.is_closed() {
@@ -333,9 +356,10 @@
         }
     }
 
-    /// Says that there is no such job only when everything is known that was accepted before
-    /// the question came: by fronts, in the intake, and by a newer owner, which there was none of
-    /// when the ownership was confirmed since.
+    /// Answers a query for a job, or parks it. The answer is [`JobAnswer::Unknown`] only if the
+    /// cell knows every job accepted before the query arrived at `since`: the intake has been read
+    /// up to a later time, which covers the jobs that fronts accepted, and the ownership has been
+    /// confirmed since, which rules out that a newer owner accepted any.
     fn answer_job(&mut self, id: JobId, since: Time, reply: oneshot::Sender<JobAnswer>) {
         let answer = match self.cell.state(id) {
             Some(state) => JobAnswer::Known {
@@ -344,16 +368,16 @@
             },
             None if self.is_up_to_date(id, since) => JobAnswer::Unknown,
             None => {
-                self.parked.push(Parked { id, since, reply });
+                self.parked.push(ParkedQuery { id, since, reply });
                 return;
             }
         };
-        // Whoever has stopped waiting needs no answer.
+        // A failed send means that the caller has stopped waiting.
         let _ = reply.send(answer);
     }
 
-    /// Whether every job of this one's partition is known that was accepted before `since`; sees
-    /// to it that it will be.
+    /// Whether the cell knows every job accepted before `since` in the intake partition of `id`.
+    /// If not, starts a read of that partition where one is needed.
     fn is_up_to_date(&mut self, id: JobId, since: Time) -> bool {
         if !self.shared.ownership_confirmed_since(since) {
             return false;
--- a/crates/node/src/owner_handle.rs
+++ b/crates/node/src/owner_handle.rs
@@ -1,4 +1,4 @@
-//! How other tasks of a node reach its owner.
+//! Handle to the owner running on this node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,55 +15,61 @@
 use crate::peer::{HandInAnswer, JobAnswer, QueueAnswer};
 use crate::relay_request::Reports;
 
-/// How other tasks reach the owner on this node.
+/// Handle through which other tasks send events and queries to the owner on this node.
 #[derive(Debug)]
 pub(crate) struct OwnerHandle {
     pub(crate) events: mpsc::Sender<Event>,
 }
 
 impl OwnerHandle {
-    /// Without an owner the question is dropped, and whoever waits for the answer hears of it.
-    async fn ask(&self, ask: Query) {
-        let _ = self.events.send(Event::Query(ask)).await;
+    /// Sends a query to the owner. If the owner is gone, the query is dropped along with its reply
+    /// channel, so the caller's receiver fails at once.
+    async fn send_query(&self, query: Query) {
+        let _ = self.events.send(Event::Query(query)).await;
     }
 
+    /// Looks up the state of a job.
     pub(crate) async fn job(&self, id: JobId) -> JobAnswer {
         let (reply, answer) = oneshot::channel();
-        self.ask(Query::Job(id, reply)).await;
+        self.send_query(Query::Job(id, reply)).await;
         answer.await.unwrap_or(JobAnswer::NotOwner)
     }
 
+    /// Looks up the number of pending jobs of a queue.
     pub(crate) async fn queue(&self, name: QueueName) -> QueueAnswer {
         let (reply, answer) = oneshot::channel();
-        self.ask(Query::Queue(name, reply)).await;
+        self.send_query(Query::Queue(name, reply)).await;
         answer.await.unwrap_or(QueueAnswer::NotOwner)
     }
 
-    /// `None` if the owner is gone.
+    /// Returns what the cell knows of a job, and how long new jobs of `service` wait; `None` if the
+    /// owner is gone.
     pub(crate) async fn standing(
         &self,
         id: JobId,
         service: ServiceName,
     ) -> Option<(Standing, StartDelay)> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Query::Standing(id, service, reply)).await;
+        self.send_query(Query::Standing(id, service, reply)).await;
         answer.await.ok()
     }
 
-    /// The cell, for operators; `None` if the owner is gone.
-    pub(crate) async fn view(&self) -> Option<Value> {
+    /// Returns the operators' view of the cell as JSON; `None` if the owner is gone.
+    pub(crate) async fn cell_view(&self) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Query::CellView(reply)).await;
+        self.send_query(Query::CellView(reply)).await;
         answer.await.ok()
     }
 
-    /// One job, for operators; `None` if there is none.
-    pub(crate) async fn story(&self, id: JobId) -> Option<Value> {
+    /// Returns the operators' view of a job as JSON; `None` if the owner doesn't know the job or is
+    /// gone.
+    pub(crate) async fn job_view(&self, id: JobId) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
-        self.ask(Query::JobView(id, reply)).await;
+        self.send_query(Query::JobView(id, reply)).await;
         answer.await.ok()?
     }
 
+    /// Passes on a node's offer to relay orders.
     pub(crate) async fn enlist(&self, offer: Offer) -> Reply {
         let (reply, answer) = oneshot::channel();
         if self.events.send(Event::Offer(offer, reply)).await.is_err() {
@@ -72,7 +78,8 @@
         answer.await.unwrap_or(Reply::NotOwner)
     }
 
-    /// Without an answer the job may be in a batch that is under way.
+    /// Hands a job in for acceptance within `limit`. Returns [`HandInAnswer::Unknown`] if the owner
+    /// ends without an answer: the job may be in a journal batch that is in flight.
     pub(crate) async fn hand_in(
         &self,
         record: Bytes,
@@ -81,19 +88,19 @@
     ) -> HandInAnswer {
         let (reply, answer) = oneshot::channel();
         let until = Clock.now().after(limit);
-        let handed = HandInRequest {
+        let request = HandInRequest {
             record,
             origin,
             until,
             reply,
         };
-        if self.events.send(Event::HandIn(handed)).await.is_err() {
+        if self.events.send(Event::HandIn(request)).await.is_err() {
             return HandInAnswer::Refused;
         }
         answer.await.unwrap_or(HandInAnswer::Unknown)
     }
 
-    /// False if the owner is gone.
+    /// Passes on the reports of a relay. Returns false if the owner is gone.
     pub(crate) async fn report(&self, reports: Reports) -> bool {
         let (reply, answer) = oneshot::channel();
         let sent = self.events.send(Event::RelayReports(reports, reply)).await;
