--- a/crates/local/src/instances.rs
+++ b/crates/local/src/instances.rs
@@ -3,9 +3,9 @@
 use cactuswheel_work::Room;
 use serde_json::{Value, json};
 
-/// An instance of the stock.
+/// An instance of the instance.
 #[derive(Debug, Clone)]
-pub(crate) struct Stock {
+pub(crate) struct Instance {
     pub(crate) name: String,
     pub(crate) pool: String,
     pub(crate) state: &'static str,
@@ -17,9 +17,9 @@
     pub(crate) maintained: Vec<u64>,
 }
 
-pub(crate) fn listed(stock: &Stock, worker: Option<&str>, room: Room) -> Value {
+pub(crate) fn instance_json(instance: &Instance, worker: Option<&str>, room: Room) -> Value {
     json!({
-        "machine": stock.name, "pool": stock.pool, "state": stock.state, "zone": "local",
+        "machine": instance.name, "pool": instance.pool, "state": instance.state, "zone": "local",
         "labels": ["a", "r1"], "id": worker,
         "capacity": { "cpu": room.cpu, "mem_mb": room.memory, "gpu": room.gpu },
     })
--- a/crates/local/src/ledger.rs
+++ b/crates/local/src/ledger.rs
@@ -15,52 +15,53 @@
     pub starts: Map<String, u64>,
     /// What each job's first start ran, by job.
     pub specs: Map<String, String>,
-    /// Rules that were broken.
-    pub broken: Vec<String>,
+    /// Rules that were violations.
+    pub violations: Vec<String>,
 }
 
 impl Ledger {
-    pub(crate) fn started(&mut self, task: &str, run: u64, worker: &str, spec: &str) {
+    pub(crate) fn record_start(&mut self, task: &str, run: u64, worker: &str, spec: &str) {
         let job = task.split('.').next().unwrap_or_default().to_owned();
         let first = self.specs.entry(job).or_insert_with(|| spec.to_owned());
         if first != spec {
             let line = format!("{task} run {run} on {worker}: started with another spec");
-            self.broken.push(line);
+            self.violations.push(line);
         }
         *self.starts.entry(task.to_owned()).or_default() += 1;
         if self.done.contains_key(task) {
             let line =
                 format!("{task} run {run} on {worker}: started after its end was acknowledged");
-            self.broken.push(line);
+            self.violations.push(line);
         }
-        let before = self
+        let previous = self
             .running
             .insert(task.to_owned(), (run, worker.to_owned()));
-        if let Some((other, place)) = before.filter(|(_, place)| place != worker) {
-            let line = format!("{task} runs twice: run {other} on {place}, run {run} on {worker}");
-            self.broken.push(line);
+        if let Some((earlier, holder)) = previous.filter(|(_, holder)| holder != worker) {
+            let line =
+                format!("{task} runs twice: run {earlier} on {holder}, run {run} on {worker}");
+            self.violations.push(line);
         }
     }
 
-    pub(crate) fn ended(&mut self, task: &str, run: u64) {
+    pub(crate) fn record_end(&mut self, task: &str, run: u64) {
         if self.running.get(task).is_some_and(|(r, _)| *r == run) {
             self.running.remove(task);
         }
     }
 
-    pub(crate) fn acknowledged(&mut self, task: &str) {
+    pub(crate) fn record_acknowledged(&mut self, task: &str) {
         self.done
             .entry(task.to_owned())
             .or_insert_with(Instant::now);
     }
 
     /// Tasks of a job whose end as done was acknowledged.
-    pub fn done_of(&self, job: &str) -> usize {
+    pub fn done_count(&self, job: &str) -> usize {
         self.done.keys().filter(|t| t.starts_with(job)).count()
     }
 
     /// Starts of a job's tasks.
-    pub fn starts_of(&self, job: &str) -> u64 {
+    pub fn start_count(&self, job: &str) -> u64 {
         let starts = self.starts.iter().filter(|(t, _)| t.starts_with(job));
         starts.map(|(_, n)| n).sum()
     }
--- a/crates/local/src/platform.rs
+++ b/crates/local/src/platform.rs
@@ -12,24 +12,24 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use crate::instances::Stock;
+use crate::instances::Instance;
 use crate::ledger::Ledger;
-use crate::query::Asked;
-use crate::state::{Faults, ROOM, State};
-use crate::store::{Store, Told};
+use crate::query::ParsedRequest;
+use crate::state::{Faults, State, WORKER_ROOM};
+use crate::store::{JsonResponse, Store};
 use crate::worker::Worker;
 
 /// How often workers get on.
 const TICK: Duration = Duration::from_millis(10);
 
 /// How often workers write their entries.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time that a move or maintenance takes.
-const AWAY: Duration = Duration::from_millis(400);
+const ORDER_DURATION: Duration = Duration::from_millis(400);
 
 /// Time after which a worker that its work has taken down is followed by another life.
-const BACK: Duration = Duration::from_millis(800);
+const RESTART_DELAY: Duration = Duration::from_millis(800);
 
 /// A pool of the platform.
 #[derive(Debug, Clone)]
@@ -46,15 +46,15 @@
     state: Mutex<State>,
     changed: Notify,
     host: IpAddr,
-    spare: Vec<String>,
+    spare_pools: Vec<String>,
 }
 
 /// The platform on loopback; copies share it.
 #[derive(Clone)]
 pub struct Platform {
     inner: Arc<Inner>,
-    store: SocketAddr,
-    instances: SocketAddr,
+    store_addr: SocketAddr,
+    instances_addr: SocketAddr,
 }
 
 impl Platform {
@@ -67,47 +67,47 @@
             state: Mutex::new(State {
                 store: Store::default(),
                 workers: Vec::new(),
-                stock: Vec::new(),
+                instances: Vec::new(),
                 ledger: Ledger::default(),
                 faults: Faults::default(),
                 rng: seed | 1,
-                lives: 0,
-                told: Vec::new(),
+                last_id: 0,
+                advertised: Vec::new(),
             }),
             changed: Notify::new(),
             host,
-            spare: spare.map(|p| p.service.clone()).collect(),
+            spare_pools: spare.map(|p| p.service.clone()).collect(),
         });
         let platform = Self {
-            store: store.local_addr()?,
-            instances: cloud.local_addr()?,
+            store_addr: store.local_addr()?,
+            instances_addr: cloud.local_addr()?,
             inner,
         };
         for pool in pools {
             for number in 0..pool.count {
-                platform.add(pool, number);
+                platform.add_instance(pool, number);
             }
         }
         let served = platform.clone();
-        tokio::spawn(serve(store, move |r| served.clone().answer_store(r)));
+        tokio::spawn(serve(store, move |r| served.clone().serve_store(r)));
         let served = platform.clone();
-        tokio::spawn(serve(cloud, move |r| served.clone().answer_instances(r)));
-        let count = platform.lock().stock.len();
-        for place in 0..count {
-            platform.begin_life(place).await?;
+        tokio::spawn(serve(cloud, move |r| served.clone().serve_instances(r)));
+        let count = platform.lock().instances.len();
+        for index in 0..count {
+            platform.start_worker(index).await?;
         }
-        tokio::spawn(platform.clone().tick());
+        tokio::spawn(platform.clone().run_workers());
         Ok(platform)
     }
 
     /// Where the store is.
-    pub fn store(&self) -> SocketAddr {
-        self.store
+    pub fn store_addr(&self) -> SocketAddr {
+        self.store_addr
     }
 
     /// Where instances are listed and ordered.
-    pub fn instances(&self) -> SocketAddr {
-        self.instances
+    pub fn instances_addr(&self) -> SocketAddr {
+        self.instances_addr
     }
 
     /// Switches faults.
@@ -135,29 +135,29 @@
 
     /// The newest value that the system told the operator under `key`.
     pub fn status(&self, key: &str) -> Option<Value> {
-        let newest = self.lock().store.value("keyed.status", key)?;
+        let newest = self.lock().store.newest_value("keyed.status", key)?;
         serde_json::from_slice(&newest).ok()
     }
 
     /// One worker crashes; its instance starts another life after `pause`, under the same name if
-    /// `reborn`.
-    pub fn crash(&self, pick: usize, pause: Duration, reborn: bool) {
+    /// `same_id`.
+    pub fn crash(&self, pick: usize, pause: Duration, same_id: bool) {
         let mut state = self.lock();
-        let up: Vec<usize> = (0..state.stock.len())
-            .filter(|p| state.stock[*p].worker.is_some())
+        let up: Vec<usize> = (0..state.instances.len())
+            .filter(|p| state.instances[*p].worker.is_some())
             .collect();
-        let Some(place) = up.get(pick % up.len().max(1)).copied() else {
+        let Some(index) = up.get(pick % up.len().max(1)).copied() else {
             return;
         };
-        let id = state.end_life(place);
+        let id = state.kill_worker(index);
         drop(state);
         let platform = self.clone();
         tokio::spawn(async move {
             sleep(pause).await;
-            if reborn {
-                let _ = platform.begin_life_as(place, id, 0).await;
+            if same_id {
+                let _ = platform.start_worker_as(index, id, 0).await;
             } else {
-                let _ = platform.begin_life(place).await;
+                let _ = platform.start_worker(index).await;
             }
         });
     }
@@ -168,14 +168,14 @@
     }
 
     /// Tells another address for what listens at `own`, in workers' entries.
-    pub fn tell(&self, own: SocketAddr, told: SocketAddr) {
-        self.lock().told.push((own, told));
+    pub fn advertise(&self, own: SocketAddr, advertised: SocketAddr) {
+        self.lock().advertised.push((own, advertised));
     }
 
     /// Instances in a pool whose worker is up.
-    pub fn serving(&self, pool: &str) -> usize {
+    pub fn serving_count(&self, pool: &str) -> usize {
         let state = self.lock();
-        let up = state.stock.iter();
+        let up = state.instances.iter();
         up.filter(|s| s.pool == pool && s.worker.is_some()).count()
     }
 
@@ -184,8 +184,8 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn add(&self, pool: &Pool, number: usize) {
-        self.lock().stock.push(Stock {
+    fn add_instance(&self, pool: &Pool, number: usize) {
+        self.lock().instances.push(Instance {
             name: format!("m-{}-{number}", pool.service),
             pool: pool.service.clone(),
             state: "up",
@@ -195,44 +195,46 @@
         });
     }
 
-    async fn begin_life(&self, place: usize) -> std::io::Result<()> {
-        let id = self.fresh_name();
-        self.begin_life_as(place, id, 0).await
+    async fn start_worker(&self, index: usize) -> std::io::Result<()> {
+        let id = self.next_worker_id();
+        self.start_worker_as(index, id, 0).await
     }
 
-    fn fresh_name(&self) -> String {
+    fn next_worker_id(&self) -> String {
         let mut state = self.lock();
-        state.lives += 1;
-        format!("i-{}", state.lives)
+        state.last_id += 1;
+        format!("i-{}", state.last_id)
     }
 
-    /// Ends the lives of workers that their work takes down; each is followed by another at its address.
-    fn end_crashed(&self, state: &mut State) {
-        for place in 0..state.stock.len() {
-            let number = state.stock[place].worker;
-            let Some((_, addr)) = number
+    /// Ends the last_id of workers that their work takes down; each is followed by another at its address.
+    fn replace_crashed(&self, state: &mut State) {
+        for index in 0..state.instances.len() {
+            let worker_index = state.instances[index].worker;
+            let Some((_, addr)) = worker_index
                 .map(|n| &state.workers[n])
-                .filter(|(w, _)| w.crashes())
+                .filter(|(w, _)| w.crash_due())
             else {
                 continue;
             };
             let port = addr.port();
-            state.end_life(place);
+            state.kill_worker(index);
             let platform = self.clone();
             tokio::spawn(async move {
-                sleep(BACK).await;
-                let id = platform.fresh_name();
+                sleep(RESTART_DELAY).await;
+                let id = platform.next_worker_id();
                 // With its port taken the instance stays away.
-                let _ = platform.begin_life_as(place, id, port).await;
+                let _ = platform.start_worker_as(index, id, port).await;
             });
         }
     }
 
-    async fn begin_life_as(&self, place: usize, id: String, port: u16) -> std::io::Result<()> {
+    async fn start_worker_as(&self, index: usize, id: String, port: u16) -> std::io::Result<()> {
         let spare = {
             let mut state = self.lock();
-            state.stock[place].state = "up";
-            self.inner.spare.contains(&state.stock[place].pool)
+            state.instances[index].state = "up";
+            self.inner
+                .spare_pools
+                .contains(&state.instances[index].pool)
         };
         if spare {
             return Ok(());
@@ -241,20 +243,20 @@
         let addr = listener.local_addr()?;
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let born = since.unwrap_or_default().as_millis() as u64;
-        let number = {
+        let worker_index = {
             let mut state = self.lock();
-            let service = state.stock[place].pool.clone();
-            let number = state.workers.len();
+            let service = state.instances[index].pool.clone();
+            let worker_index = state.workers.len();
             state.workers.push((Worker::new(id, born, service), addr));
-            state.stock[place].worker = Some(number);
-            number
+            state.instances[index].worker = Some(worker_index);
+            worker_index
         };
         let platform = self.clone();
-        let handler = move |r| platform.clone().answer_worker(number, r);
+        let handler = move |r| platform.clone().serve_worker(worker_index, r);
         let server = tokio::spawn(serve(listener, handler));
         let platform = self.clone();
         tokio::spawn(async move {
-            while !platform.lock().workers[number].0.dead {
+            while !platform.lock().workers[worker_index].0.dead {
                 sleep(TICK).await;
             }
             // Its listener goes with it; open connections are answered no more.
@@ -264,70 +266,70 @@
     }
 
     /// Workers get on, and write their entries.
-    async fn tick(self) {
-        let mut beat = Instant::now();
-        let mut number = 0;
+    async fn run_workers(self) {
+        let mut last_beat = Instant::now();
+        let mut seq = 0;
         loop {
             sleep(TICK).await;
             let mut state = self.lock();
             let state = &mut *state;
             let mut ended = false;
             for (worker, _) in state.workers.iter_mut().filter(|(w, _)| !w.dead) {
-                ended |= worker.step(&mut state.ledger);
+                ended |= worker.advance(&mut state.ledger);
             }
-            self.end_crashed(state);
-            let beats = beat.elapsed() >= HEARTBEAT || number == 0;
-            if beats {
-                beat = Instant::now();
-                number += 1;
+            self.replace_crashed(state);
+            let beat_due = last_beat.elapsed() >= HEARTBEAT_INTERVAL || seq == 0;
+            if beat_due {
+                last_beat = Instant::now();
+                seq += 1;
                 for (worker, addr) in state.workers.iter().filter(|(w, _)| !w.dead) {
-                    let told = state.told.iter().find(|(own, _)| own == addr);
-                    let told = told.map_or(*addr, |(_, t)| *t).to_string();
-                    let entry = worker.entry(&told, ROOM, number).to_string();
+                    let advertised = state.advertised.iter().find(|(own, _)| own == addr);
+                    let advertised = advertised.map_or(*addr, |(_, t)| *t).to_string();
+                    let entry = worker.entry(&advertised, WORKER_ROOM, seq).to_string();
                     state
                         .store
                         .put("keyed.servers", &worker.id, entry.as_bytes());
                 }
             }
-            if ended || beats {
+            if ended || beat_due {
                 self.inner.changed.notify_waiters();
             }
         }
     }
 
-    async fn answer_store(self, request: Request<Incoming>) -> Reply {
-        let asked = Asked::read(request).await;
+    async fn serve_store(self, request: Request<Incoming>) -> Reply {
+        let parsed = ParsedRequest::read(request).await;
         let faults = self.lock().faults;
-        let part = asked.number("part");
+        let part = parsed.number("part");
         if faults.store_down || (part.is_some() && part == faults.part_down) {
             return reply(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
         }
-        match asked.path.as_str() {
+        match parsed.path.as_str() {
             "/v1/log-append" => {
-                let (told, lost) = {
+                let (response, lost) = {
                     let mut state = self.lock();
-                    let told = state.store.append(&asked);
+                    let response = state.store.append(&parsed);
                     let percent = state.faults.lost_writes;
-                    (told, state.chance(percent))
+                    (response, state.chance(percent))
                 };
                 self.inner.changed.notify_waiters();
                 if lost {
                     sleep(Duration::from_secs(5)).await;
                 }
-                answer(told)
+                json_response(response)
             }
-            "/v1/log-read" => self.read(asked).await,
-            "/v1/log-newest" => answer(self.lock().store.newest(&asked)),
+            "/v1/log-read" => self.read(parsed).await,
+            "/v1/log-newest" => json_response(self.lock().store.newest(&parsed)),
             _ => reply(StatusCode::NOT_FOUND, &json!({})),
         }
     }
 
-    async fn read(&self, asked: Asked) -> Reply {
-        let wait = Duration::from_millis(asked.number("wait_ms").unwrap_or_default());
+    async fn read(&self, parsed: ParsedRequest) -> Reply {
+        let wait = Duration::from_millis(parsed.number("wait_ms").unwrap_or_default());
         let found = timeout(wait, async {
             loop {
                 let changed = self.inner.changed.notified();
-                match self.lock().store.read(&asked) {
+                match self.lock().store.read(&parsed) {
                     Ok(None) => {}
                     found => return found,
                 }
@@ -335,87 +337,87 @@
             }
         });
         match found.await {
-            Ok(Ok(Some(body))) => raw(body),
-            Ok(Err(told)) => answer(told),
-            _ => raw(self.lock().store.nothing(&asked)),
+            Ok(Ok(Some(body))) => binary_response(body),
+            Ok(Err(response)) => json_response(response),
+            _ => binary_response(self.lock().store.empty_page(&parsed)),
         }
     }
 
-    async fn answer_worker(self, number: usize, request: Request<Incoming>) -> Reply {
+    async fn serve_worker(self, worker_index: usize, request: Request<Incoming>) -> Reply {
         let expected = request.headers().get("expect-instance").cloned();
-        let asked = Asked::read(request).await;
-        let order = asked.json();
-        if self.lock().workers[number].0.dead {
+        let parsed = ParsedRequest::read(request).await;
+        let order = parsed.json();
+        if self.lock().workers[worker_index].0.dead {
             std::future::pending::<()>().await;
         }
         let wait = Duration::from_millis(order["wait_ms"].as_u64().unwrap_or_default());
-        let (told, lost) = {
+        let (response, lost) = {
             let mut state = self.lock();
             let state = &mut *state;
-            let worker = &mut state.workers[number].0;
+            let worker = &mut state.workers[worker_index].0;
             let other = expected.is_some_and(|e| e.as_bytes() != worker.id.as_bytes());
-            let told = match (other, asked.path.as_str()) {
+            let response = match (other, parsed.path.as_str()) {
                 (true, _) => Some((StatusCode::MISDIRECTED_REQUEST, json!({}))),
                 (_, "/v1/run-start") => Some(worker.start(&order, &mut state.ledger)),
                 (_, "/v1/run-stop") => Some(worker.stop(&order, &mut state.ledger)),
                 (_, "/v1/pace") => Some((StatusCode::OK, json!({}))),
-                (_, "/v1/hold") => match worker.hold(&order, &mut state.ledger) {
-                    Ok(true) => Some(worker.lists()),
+                (_, "/v1/hold") => match worker.poll(&order, &mut state.ledger) {
+                    Ok(true) => Some(worker.status()),
                     Ok(false) => None,
-                    Err(told) => Some(told),
+                    Err(response) => Some(response),
                 },
                 _ => Some((StatusCode::NOT_FOUND, json!({}))),
             };
             let percent = state.faults.lost_orders;
-            (told, state.chance(percent))
+            (response, state.chance(percent))
         };
         if lost {
             sleep(Duration::from_secs(5)).await;
         }
-        match told {
-            Some(told) => answer(told),
+        match response {
+            Some(response) => json_response(response),
             None => {
                 let ended = timeout(wait, self.inner.changed.notified());
-                // Either way the lists are told as they are then.
+                // Either way the status are told as they are then.
                 let _ = ended.await;
-                let lists = {
+                let status = {
                     let state = self.lock();
-                    let worker = &state.workers[number].0;
-                    (!worker.dead).then(|| worker.lists())
+                    let worker = &state.workers[worker_index].0;
+                    (!worker.dead).then(|| worker.status())
                 };
-                match lists {
-                    Some(lists) => answer(lists),
+                match status {
+                    Some(status) => json_response(status),
                     None => std::future::pending().await,
                 }
             }
         }
     }
 
-    async fn answer_instances(self, request: Request<Incoming>) -> Reply {
+    async fn serve_instances(self, request: Request<Incoming>) -> Reply {
         let fence = request.headers().get("fence-token");
         let fence = fence.and_then(|f| f.to_str().ok()?.parse().ok());
-        let asked = Asked::read(request).await;
-        if asked.path == "/v1/machines" {
-            return answer(self.lock().list());
+        let parsed = ParsedRequest::read(request).await;
+        if parsed.path == "/v1/machines" {
+            return json_response(self.lock().list());
         }
-        let order = asked.json();
-        let (told, place) = self.lock().order(&asked.path, &order, fence.unwrap_or(0));
-        if let Some(place) = place {
+        let order = parsed.json();
+        let (response, index) = self.lock().order(&parsed.path, &order, fence.unwrap_or(0));
+        if let Some(index) = index {
             let platform = self.clone();
             tokio::spawn(async move {
-                sleep(AWAY).await;
+                sleep(ORDER_DURATION).await;
                 // With no port left the instance stays away.
-                let _ = platform.begin_life(place).await;
+                let _ = platform.start_worker(index).await;
             });
         }
-        answer(told)
+        json_response(response)
     }
 }
 
-fn answer((status, body): Told) -> Reply {
+fn json_response((status, body): JsonResponse) -> Reply {
     reply(status, &body)
 }
 
-fn raw(body: Vec<u8>) -> Reply {
+fn binary_response(body: Vec<u8>) -> Reply {
     Response::new(http_body_util::Full::new(Bytes::from(body)))
 }
--- a/crates/local/src/query.rs
+++ b/crates/local/src/query.rs
@@ -6,13 +6,13 @@
 use hyper::body::{Bytes, Incoming};
 
 /// A request's path, query and body.
-pub(crate) struct Asked {
+pub(crate) struct ParsedRequest {
     pub(crate) path: String,
     query: Map<String, String>,
     pub(crate) body: Bytes,
 }
 
-impl Asked {
+impl ParsedRequest {
     pub(crate) async fn read(request: Request<Incoming>) -> Self {
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default();
--- a/crates/local/src/state.rs
+++ b/crates/local/src/state.rs
@@ -6,13 +6,13 @@
 use hyper::StatusCode;
 use serde_json::{Value, json};
 
-use crate::instances::{Stock, listed};
+use crate::instances::{Instance, instance_json};
 use crate::ledger::Ledger;
-use crate::store::{Store, Told};
+use crate::store::{JsonResponse, Store};
 use crate::worker::Worker;
 
 /// What a worker has.
-pub(crate) const ROOM: Room = Room {
+pub(crate) const WORKER_ROOM: Room = Room {
     cpu: 16_000,
     memory: 32_768,
     gpu: 0,
@@ -35,13 +35,13 @@
 pub(crate) struct State {
     pub(crate) store: Store,
     pub(crate) workers: Vec<(Worker, SocketAddr)>,
-    pub(crate) stock: Vec<Stock>,
+    pub(crate) instances: Vec<Instance>,
     pub(crate) ledger: Ledger,
     pub(crate) faults: Faults,
     pub(crate) rng: u64,
-    pub(crate) lives: u64,
-    /// Address that is told for a worker in place of its own, such as a proxy's.
-    pub(crate) told: Vec<(SocketAddr, SocketAddr)>,
+    pub(crate) last_id: u64,
+    /// Address that is advertised for a worker in index of its own, such as a proxy's.
+    pub(crate) advertised: Vec<(SocketAddr, SocketAddr)>,
 }
 
 impl State {
@@ -53,21 +53,21 @@
     }
 
     /// The worker on an instance is gone, and its entry with it; gives its name.
-    pub(crate) fn end_life(&mut self, place: usize) -> String {
-        let Some(number) = self.stock[place].worker.take() else {
+    pub(crate) fn kill_worker(&mut self, index: usize) -> String {
+        let Some(worker_index) = self.instances[index].worker.take() else {
             return String::new();
         };
-        let (worker, _) = &mut self.workers[number];
-        worker.die(&mut self.ledger);
+        let (worker, _) = &mut self.workers[worker_index];
+        worker.kill(&mut self.ledger);
         let id = worker.id.clone();
         self.store.put("keyed.servers", &id, &[]);
         id
     }
 
-    pub(crate) fn list(&self) -> Told {
-        let machines = self.stock.iter().map(|s| {
-            let worker = s.worker.map(|n| self.workers[n].0.id.as_str());
-            listed(s, worker, ROOM)
+    pub(crate) fn list(&self) -> JsonResponse {
+        let machines = self.instances.iter().map(|i| {
+            let worker = i.worker.map(|n| self.workers[n].0.id.as_str());
+            instance_json(i, worker, WORKER_ROOM)
         });
         let machines: Vec<Value> = machines.collect();
         (
@@ -77,39 +77,44 @@
     }
 
     /// Carries an order out; gives the instance that has to start another life.
-    pub(crate) fn order(&mut self, path: &str, order: &Value, fence: u64) -> (Told, Option<usize>) {
-        let refused = |reason: &str| ((StatusCode::CONFLICT, json!({ "reason": reason })), None);
+    pub(crate) fn order(
+        &mut self,
+        path: &str,
+        order: &Value,
+        fence: u64,
+    ) -> (JsonResponse, Option<usize>) {
+        let conflict = |reason: &str| ((StatusCode::CONFLICT, json!({ "reason": reason })), None);
         let name = order["machine"].as_str().unwrap_or_default();
-        let Some(place) = self.stock.iter().position(|s| s.name == name) else {
+        let Some(index) = self.instances.iter().position(|i| i.name == name) else {
             return ((StatusCode::BAD_REQUEST, json!({})), None);
         };
-        let stock = &mut self.stock[place];
-        if fence < stock.fence {
-            return refused("fence");
+        let instance = &mut self.instances[index];
+        if fence < instance.fence {
+            return conflict("fence");
         }
-        stock.fence = fence;
+        instance.fence = fence;
         let wave = order["wave"].as_u64();
         let done = match path {
-            "/v1/machine-move" => Some(stock.pool.as_str()) == order["pool"].as_str(),
-            _ => wave.is_some_and(|w| stock.maintained.contains(&w)),
+            "/v1/machine-move" => Some(instance.pool.as_str()) == order["pool"].as_str(),
+            _ => wave.is_some_and(|w| instance.maintained.contains(&w)),
         };
         if done {
             return ((StatusCode::OK, json!({})), None);
         }
-        if stock.state != "up" {
-            return refused("busy");
+        if instance.state != "up" {
+            return conflict("busy");
         }
         match wave {
             Some(wave) => {
-                stock.maintained.push(wave);
-                stock.state = "upkeep";
+                instance.maintained.push(wave);
+                instance.state = "upkeep";
             }
             None => {
-                stock.pool = order["pool"].as_str().unwrap_or_default().to_owned();
-                stock.state = "moving";
+                instance.pool = order["pool"].as_str().unwrap_or_default().to_owned();
+                instance.state = "moving";
             }
         }
-        self.end_life(place);
-        ((StatusCode::OK, json!({})), Some(place))
+        self.kill_worker(index);
+        ((StatusCode::OK, json!({})), Some(index))
     }
 }
--- a/crates/local/src/store.rs
+++ b/crates/local/src/store.rs
@@ -9,13 +9,13 @@
 use hyper::body::Bytes;
 use serde_json::{Value, json};
 
-use crate::query::Asked;
+use crate::query::ParsedRequest;
 
-/// Appends of a producer that are told again when they are repeated.
-const REPEATS: usize = 5;
+/// Appends of a producer that are response again when they are repeated.
+const MAX_REMEMBERED: usize = 5;
 
 /// Records of a page of the newest ones.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 /// The log store: partitions by topic and number.
 #[derive(Debug, Default)]
@@ -36,39 +36,41 @@
 #[derive(Debug, Default)]
 struct Producer {
     epoch: u64,
-    /// Answers to the last appends, by sequence number.
-    last: Vec<(u64, Value)>,
+    /// Answers to the recent appends, by sequence number.
+    recent: Vec<(u64, Value)>,
 }
 
 /// A status and a body.
-pub(crate) type Told = (StatusCode, Value);
+pub(crate) type JsonResponse = (StatusCode, Value);
 
 impl Store {
-    fn part(&mut self, asked: &Asked) -> &mut Part {
-        let topic = asked.text("topic").unwrap_or_default().to_owned();
-        let part = asked.number("part").unwrap_or_default();
+    fn part(&mut self, request: &ParsedRequest) -> &mut Part {
+        let topic = request.text("topic").unwrap_or_default().to_owned();
+        let part = request.number("part").unwrap_or_default();
         self.parts.entry((topic, part)).or_default()
     }
 
-    pub(crate) fn append(&mut self, asked: &Asked) -> Told {
-        let keyed = asked.text("topic").is_some_and(|t| t.starts_with("keyed."));
-        let part = self.part(asked);
-        if let Some(refused) = part.refuse(asked) {
-            return refused;
+    pub(crate) fn append(&mut self, request: &ParsedRequest) -> JsonResponse {
+        let keyed = request
+            .text("topic")
+            .is_some_and(|t| t.starts_with("keyed."));
+        let part = self.part(request);
+        if let Some(refusal) = part.check_producer(request) {
+            return refusal;
         }
-        if asked.number("at").is_some_and(|at| at != part.end()) {
+        if request.number("at").is_some_and(|at| at != part.end()) {
             return (
                 StatusCode::PRECONDITION_FAILED,
                 json!({ "end": part.end() }),
             );
         }
         let offset = part.end();
-        for record in split(&asked.body) {
+        for record in split_records(&request.body) {
             part.add(record, keyed);
         }
-        let told = json!({ "offset": offset, "end": part.end() });
-        part.note(asked, &told);
-        (StatusCode::OK, told)
+        let response = json!({ "offset": offset, "end": part.end() });
+        part.remember(request, &response);
+        (StatusCode::OK, response)
     }
 
     /// Puts a keyed record in, as the operator and the workers do.
@@ -81,9 +83,12 @@
     }
 
     /// Records from an offset on, framed; `None` if there are none yet.
-    pub(crate) fn read(&mut self, asked: &Asked) -> Result<Option<Vec<u8>>, Told> {
-        let from = asked.number("from").unwrap_or_default();
-        let part = self.part(asked);
+    pub(crate) fn read(
+        &mut self,
+        request: &ParsedRequest,
+    ) -> Result<Option<Vec<u8>>, JsonResponse> {
+        let from = request.number("from").unwrap_or_default();
+        let part = self.part(request);
         if from < part.first {
             return Err((StatusCode::GONE, json!({ "first": part.first })));
         }
@@ -100,16 +105,16 @@
     }
 
     /// The answer to a read that waited for nothing.
-    pub(crate) fn nothing(&mut self, asked: &Asked) -> Vec<u8> {
-        let part = self.part(asked);
+    pub(crate) fn empty_page(&mut self, request: &ParsedRequest) -> Vec<u8> {
+        let part = self.part(request);
         [part.end().to_be_bytes(), part.first.to_be_bytes()].concat()
     }
 
-    pub(crate) fn newest(&mut self, asked: &Asked) -> Told {
-        let after = asked.text("after").unwrap_or_default().to_owned();
-        let part = self.part(asked);
+    pub(crate) fn newest(&mut self, request: &ParsedRequest) -> JsonResponse {
+        let after = request.text("after").unwrap_or_default().to_owned();
+        let part = self.part(request);
         let mut keys = part.newest.iter().filter(|(k, _)| **k > after);
-        let items = keys.by_ref().take(PAGE);
+        let items = keys.by_ref().take(PAGE_SIZE);
         let items: Vec<Value> = items
             .map(|(key, (value, offset))| {
                 json!({ "key": key, "value": STANDARD.encode(value), "offset": offset })
@@ -123,7 +128,7 @@
     }
 
     /// The newest value of a key.
-    pub(crate) fn value(&self, topic: &str, key: &str) -> Option<Bytes> {
+    pub(crate) fn newest_value(&self, topic: &str, key: &str) -> Option<Bytes> {
         let part = self.parts.get(&(topic.to_owned(), 0))?;
         part.newest.get(key).map(|(value, _)| value.clone())
     }
@@ -157,41 +162,41 @@
     }
 
     /// An answer that stands in the way of an append: shut out, out of turn, or done before.
-    fn refuse(&mut self, asked: &Asked) -> Option<Told> {
-        let producer = asked.text("producer")?;
-        let (epoch, seq) = (asked.number("epoch")?, asked.number("seq")?);
+    fn check_producer(&mut self, request: &ParsedRequest) -> Option<JsonResponse> {
+        let producer = request.text("producer")?;
+        let (epoch, seq) = (request.number("epoch")?, request.number("seq")?);
         let known = self.producers.entry(producer.to_owned()).or_default();
         if epoch < known.epoch {
             return Some((StatusCode::CONFLICT, json!({ "reason": "fenced" })));
         }
         if epoch > known.epoch {
             known.epoch = epoch;
-            known.last.clear();
+            known.recent.clear();
             return None;
         }
-        if let Some((_, told)) = known.last.iter().find(|(s, _)| *s == seq) {
-            return Some((StatusCode::OK, told.clone()));
+        if let Some((_, response)) = known.recent.iter().find(|(s, _)| *s == seq) {
+            return Some((StatusCode::OK, response.clone()));
         }
-        let next = known.last.last().map(|(s, _)| s + 1);
-        let wrong = next.filter(|n| *n != seq);
-        wrong.map(|n| (StatusCode::CONFLICT, json!({ "reason": "seq", "seq": n })))
+        let next = known.recent.last().map(|(s, _)| s + 1);
+        let mismatch = next.filter(|n| *n != seq);
+        mismatch.map(|n| (StatusCode::CONFLICT, json!({ "reason": "seq", "seq": n })))
     }
 
-    fn note(&mut self, asked: &Asked, told: &Value) {
-        let producer = asked
+    fn remember(&mut self, request: &ParsedRequest, response: &Value) {
+        let producer = request
             .text("producer")
             .and_then(|p| self.producers.get_mut(p));
-        let (Some(producer), Some(seq)) = (producer, asked.number("seq")) else {
+        let (Some(producer), Some(seq)) = (producer, request.number("seq")) else {
             return;
         };
-        producer.last.push((seq, told.clone()));
-        if producer.last.len() > REPEATS {
-            producer.last.remove(0);
+        producer.recent.push((seq, response.clone()));
+        if producer.recent.len() > MAX_REMEMBERED {
+            producer.recent.remove(0);
         }
     }
 }
 
-fn split(body: &Bytes) -> Vec<Bytes> {
+fn split_records(body: &Bytes) -> Vec<Bytes> {
     let mut found = Vec::new();
     let mut rest = body.clone();
     while rest.len() >= 4 {
--- a/crates/local/src/worker.rs
+++ b/crates/local/src/worker.rs
@@ -8,13 +8,13 @@
 use serde_json::{Value, json};
 
 use crate::ledger::Ledger;
-use crate::store::Told;
+use crate::store::JsonResponse;
 
 /// Longest lease that a worker grants.
-const LONGEST: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 
 /// Work of a task whose spec names none.
-const WORK: Duration = Duration::from_millis(150);
+const DEFAULT_WORK: Duration = Duration::from_millis(150);
 
 #[derive(Debug)]
 struct Run {
@@ -23,7 +23,7 @@
     /// `None` for a run that lasts.
     work: Option<Duration>,
     /// Time after which it takes the worker down.
-    fuse: Option<Duration>,
+    crash_after: Option<Duration>,
 }
 
 /// One life of a worker.
@@ -37,10 +37,10 @@
     expiry: u64,
     running: Map<String, Run>,
     ended: Vec<(u64, String, u64, &'static str)>,
-    barred: Map<String, u64>,
-    next: u64,
+    closed: Map<String, u64>,
+    next_end: u64,
     /// Ends up to this number came before a lease ran out: their owner had to give them up.
-    lapsed: u64,
+    expired_through: u64,
     /// Gone: nothing of it counts any more.
     pub(crate) dead: bool,
 }
@@ -56,9 +56,9 @@
             expiry: 0,
             running: Map::default(),
             ended: Vec::new(),
-            barred: Map::default(),
-            next: 1,
-            lapsed: 0,
+            closed: Map::default(),
+            next_end: 1,
+            expired_through: 0,
             dead: false,
         }
     }
@@ -67,47 +67,47 @@
         1_000 + self.start.elapsed().as_millis() as u64
     }
 
-    pub(crate) fn entry(&self, addr: &str, room: Room, number: u64) -> Value {
+    pub(crate) fn entry(&self, addr: &str, room: Room, seq: u64) -> Value {
         json!({
             "service": self.service, "addr": addr, "zone": "local", "version": "v1", "slots": 8,
-            "state": "ready", "cold_left_ms": 0, "labels": ["a", "r1"], "seq": number,
+            "state": "ready", "cold_left_ms": 0, "labels": ["a", "r1"], "seq": seq,
             "capacity": { "cpu": room.cpu, "mem_mb": room.memory, "gpu": room.gpu },
             "clock_ms": self.clock(), "born": self.born,
         })
     }
 
     /// Lets work go on; true if something ended.
-    pub(crate) fn step(&mut self, ledger: &mut Ledger) -> bool {
+    pub(crate) fn advance(&mut self, ledger: &mut Ledger) -> bool {
         let before = self.ended.len();
         if self.clock() > self.expiry {
-            self.lapsed = self.next - 1;
+            self.expired_through = self.next_end - 1;
             let all: Vec<String> = self.running.keys().cloned().collect();
             for task in all {
                 self.end(&task, "lapsed", ledger);
             }
         }
-        let over = self
+        let finished = self
             .running
             .iter()
             .filter(|(_, r)| r.work.is_some_and(|work| r.since.elapsed() >= work));
-        let over: Vec<String> = over.map(|(t, _)| t.clone()).collect();
-        for task in over {
+        let finished: Vec<String> = finished.map(|(t, _)| t.clone()).collect();
+        for task in finished {
             self.end(&task, "done", ledger);
         }
         self.ended.len() > before
     }
 
     /// Whether a run takes the worker down now.
-    pub(crate) fn crashes(&self) -> bool {
+    pub(crate) fn crash_due(&self) -> bool {
         let mut runs = self.running.values();
-        runs.any(|r| r.fuse.is_some_and(|fuse| r.since.elapsed() >= fuse))
+        runs.any(|r| r.crash_after.is_some_and(|t| r.since.elapsed() >= t))
     }
 
     /// Everything here is gone, without an end that anybody hears of.
-    pub(crate) fn die(&mut self, ledger: &mut Ledger) {
+    pub(crate) fn kill(&mut self, ledger: &mut Ledger) {
         self.dead = true;
         for (task, run) in self.running.drain() {
-            ledger.ended(&task, run.run);
+            ledger.record_end(&task, run.run);
         }
     }
 
@@ -115,109 +115,114 @@
         let Some(run) = self.running.remove(task) else {
             return;
         };
-        ledger.ended(task, run.run);
-        let barred = self.barred.entry(task.to_owned()).or_default();
-        *barred = (*barred).max(run.run);
-        self.ended.push((self.next, task.to_owned(), run.run, how));
-        self.next += 1;
+        ledger.record_end(task, run.run);
+        let closed = self.closed.entry(task.to_owned()).or_default();
+        *closed = (*closed).max(run.run);
+        self.ended
+            .push((self.next_end, task.to_owned(), run.run, how));
+        self.next_end += 1;
     }
 
-    fn shut_out(&mut self, order: &Value) -> Option<Told> {
+    fn check_fence(&mut self, order: &Value) -> Option<JsonResponse> {
         let fence = order["fence"].as_u64().unwrap_or_default();
         if fence < self.fence {
-            return Some(self.refused("fence"));
+            return Some(self.conflict("fence"));
         }
         self.fence = fence;
         None
     }
 
-    fn refused(&self, reason: &str) -> Told {
+    fn conflict(&self, reason: &str) -> JsonResponse {
         (
             StatusCode::CONFLICT,
             json!({ "clock_ms": self.clock(), "reason": reason }),
         )
     }
 
-    fn renew(&mut self, order: &Value) {
+    fn renew_lease(&mut self, order: &Value) {
         if let Some(expiry) = order["deadline_ms"].as_u64() {
-            self.expiry = self.expiry.max(expiry.min(self.clock() + LONGEST));
+            self.expiry = self.expiry.max(expiry.min(self.clock() + MAX_LEASE_MS));
         }
     }
 
-    pub(crate) fn start(&mut self, order: &Value, ledger: &mut Ledger) -> Told {
-        if let Some(refused) = self.shut_out(order) {
-            return refused;
+    pub(crate) fn start(&mut self, order: &Value, ledger: &mut Ledger) -> JsonResponse {
+        if let Some(refusal) = self.check_fence(order) {
+            return refusal;
         }
-        self.renew(order);
+        self.renew_lease(order);
         let task = order["task"].as_str().unwrap_or_default().to_owned();
         let run = order["run"].as_u64().unwrap_or_default();
         if self.running.get(&task).is_some_and(|r| r.run == run) {
             return (StatusCode::OK, json!({ "clock_ms": self.clock() }));
         }
-        if self.barred.get(&task).is_some_and(|b| *b >= run) {
-            return self.refused("old");
+        if self.closed.get(&task).is_some_and(|b| *b >= run) {
+            return self.conflict("old");
         }
         let text = order["spec"].as_str().unwrap_or_default();
         let spec = text.split_once('=');
         // Of such a job it is the first task.
-        let fuse = match spec {
+        let crash_after = match spec {
             Some(("crash_ms", ms)) if task.ends_with(".0.0.0") => ms.parse().ok(),
             _ => None,
         };
         let work = match spec {
             Some(("work_ms", ms)) => ms.parse().ok().map(Duration::from_millis),
             Some(("lasts", _)) => None,
-            _ => Some(WORK),
+            _ => Some(DEFAULT_WORK),
         };
-        ledger.started(&task, run, &self.id, text);
+        ledger.record_start(&task, run, &self.id, text);
         let since = Instant::now();
-        let fuse = fuse.map(Duration::from_millis);
+        let crash_after = crash_after.map(Duration::from_millis);
         self.running.insert(
             task,
             Run {
                 run,
                 since,
                 work,
-                fuse,
+                crash_after,
             },
         );
         (StatusCode::OK, json!({ "clock_ms": self.clock() }))
     }
 
-    pub(crate) fn stop(&mut self, order: &Value, ledger: &mut Ledger) -> Told {
-        if let Some(refused) = self.shut_out(order) {
-            return refused;
+    pub(crate) fn stop(&mut self, order: &Value, ledger: &mut Ledger) -> JsonResponse {
+        if let Some(refusal) = self.check_fence(order) {
+            return refusal;
         }
         let task = order["task"].as_str().unwrap_or_default().to_owned();
         let run = order["run"].as_u64().unwrap_or_default();
         if self.running.get(&task).is_some_and(|r| r.run == run) {
             self.end(&task, "stopped", ledger);
         }
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(run);
+        let closed = self.closed.entry(task).or_default();
+        *closed = (*closed).max(run);
         (StatusCode::OK, json!({ "clock_ms": self.clock() }))
     }
 
     /// Renews and acknowledges; `None` if the answer may wait for an end.
-    pub(crate) fn hold(&mut self, order: &Value, ledger: &mut Ledger) -> Result<bool, Told> {
-        if let Some(refused) = self.shut_out(order) {
-            return Err(refused);
+    pub(crate) fn poll(
+        &mut self,
+        order: &Value,
+        ledger: &mut Ledger,
+    ) -> Result<bool, JsonResponse> {
+        if let Some(refusal) = self.check_fence(order) {
+            return Err(refusal);
         }
-        self.renew(order);
+        self.renew_lease(order);
         let seen = order["last_seen"].as_u64().unwrap_or_default();
-        let (noted, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ended)
+        let (acknowledged, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|(n, ..)| *n <= seen);
-        self.ended = left;
-        for (number, task, _, how) in noted {
-            if how == "done" && number > self.lapsed {
-                ledger.acknowledged(&task);
+        self.ended = remaining;
+        for (number, task, _, how) in acknowledged {
+            if how == "done" && number > self.expired_through {
+                ledger.record_acknowledged(&task);
             }
         }
         Ok(!self.ended.is_empty())
     }
 
-    pub(crate) fn lists(&self) -> Told {
+    pub(crate) fn status(&self) -> JsonResponse {
         let running: Vec<Value> = self
             .running
             .iter()
@@ -237,9 +242,9 @@
             .iter()
             .map(|(n, task, run, how)| json!([n, task, run, how, ""]))
             .collect();
-        let lists = json!({
+        let status = json!({
             "clock_ms": self.clock(), "born": self.born, "running": running, "ended": ended,
         });
-        (StatusCode::OK, lists)
+        (StatusCode::OK, status)
     }
 }
--- a/crates/node/src/appending.rs
+++ b/crates/node/src/appending.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cactuswheel_adapter::{AppendError, Appended, Keyed, Partition, Producer};
+use cactuswheel_adapter::{AppendError, Appended, KeyedRecord, Partition, Producer};
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use tokio::time::{sleep, timeout};
@@ -39,7 +39,7 @@
     topic: &'static str,
     to: Partition,
     producer: &Producer,
-    records: &[Keyed],
+    records: &[KeyedRecord],
     in_doubt: impl Fn(),
 ) -> Result<Appended, AppendError> {
     let attempt = || async {
@@ -62,7 +62,7 @@
             shared.metrics.append_failed(topic);
             shared.append_rtt.overdue();
             if in_flight.len() < MAX_IN_FLIGHT {
-                shared.store.suspect();
+                shared.store.discard_idle();
                 in_flight.push(attempt());
             }
             continue;
--- a/crates/node/src/config_follower.rs
+++ b/crates/node/src/config_follower.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cactuswheel_adapter::{
-    CONFIG_KEY, Item, Keyed, ReadError, WAVE_PREFIX, evacuated_zone, read_config, read_wave,
+    CONFIG_KEY, Item, KeyedRecord, ReadError, WAVE_PREFIX, evacuated_zone, parse_config, parse_wave,
 };
 use cactuswheel_model::Set;
 use cactuswheel_work::{Wave, ZoneName};
@@ -79,7 +79,7 @@
     let zones = items.iter().filter_map(|i| evacuated_zone(&i.key));
     set_evacuated(shared, zones.collect());
     for Item { key, value, .. } in items {
-        apply(shared, &Keyed::new(key, value));
+        apply(shared, &KeyedRecord::new(key, value));
     }
 }
 
@@ -98,7 +98,7 @@
         shared.store_answered();
         next += page.records.len() as u64;
         for record in &page.records {
-            match Keyed::read(record) {
+            match KeyedRecord::parse(record) {
                 Some(record) => apply(shared, &record),
                 None => log::warn!(offset = page.from; "ignoring operators' record without a key"),
             }
@@ -112,7 +112,7 @@
     }
 }
 
-fn apply(shared: &Shared, record: &Keyed) {
+fn apply(shared: &Shared, record: &KeyedRecord) {
     if let Some(zone) = evacuated_zone(&record.key) {
         let mut zones = (**shared.evacuated.load()).clone();
         match record.value {
@@ -134,7 +134,7 @@
 /// Replaces the configuration, unless its version is not newer than the current one: an old record
 /// may arrive late.
 fn apply_config(shared: &Shared, value: &[u8]) {
-    let config = match read_config(value) {
+    let config = match parse_config(value) {
         Ok(config) => config,
         Err(e) => {
             log::error!(error:% = e; "ignoring invalid configuration");
@@ -164,7 +164,7 @@
 }
 
 fn apply_wave(shared: &Shared, value: &[u8]) {
-    let wave = match read_wave(value) {
+    let wave = match parse_wave(value) {
         Ok(wave) => wave,
         Err(e) => {
             log::error!(error:% = e; "ignoring invalid maintenance wave");
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::PolicyService;
+use cactuswheel_adapter::PolicyClient;
 use cactuswheel_cell::{Batch, Output};
 use cactuswheel_model::{Map, Time};
 use cactuswheel_relay::{
@@ -93,7 +93,7 @@
     inward: LinkLoad,
     /// Relays are told what a job runs by its digest.
     named: bool,
-    policy: Option<Arc<PolicyService>>,
+    policy: Option<Arc<PolicyClient>>,
     /// Questions to the policy service that are under way.
     questions: Arc<Semaphore>,
     tasks: TaskTracker,
@@ -104,7 +104,7 @@
         let policy = shared
             .settings
             .policy
-            .map(|a| Arc::new(PolicyService::new(a)));
+            .map(|a| Arc::new(PolicyClient::new(a)));
         let own = LocalOwner {
             shared: shared.clone(),
             events: events.clone(),
@@ -331,7 +331,7 @@
                 log::warn!(step:% = step, workers = workers.len() as u64, error:% = e; "no advice");
                 sleep(ADVICE_PAUSE).await;
             }
-            let good = answer.ok().map(|a| a.good);
+            let good = answer.ok().map(|a| a.permits);
             let _ = events.send(Event::PolicyAnswer(step, good)).await;
         });
     }
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cactuswheel_adapter::{AppendError, Keyed, ReadError};
+use cactuswheel_adapter::{AppendError, KeyedRecord, ReadError};
 use cactuswheel_capacity::LastOwner;
 use cactuswheel_cell::{RENEW_WITHOUT_STORE, decode, encode};
 use cactuswheel_model::Time;
@@ -171,7 +171,7 @@
             return;
         };
         record.released = true;
-        let records = [Keyed::new(KEY, encode(&record))];
+        let records = [KeyedRecord::new(KEY, encode(&record))];
         let done = shared
             .store
             .append(OWNER, None, Some(page.end), &records, TIMEOUT);
@@ -310,7 +310,7 @@
         if expiry < self.shared.expiry() {
             self.shared.set_expiry(expiry);
         }
-        let records = [Keyed::new(KEY, encode(&record))];
+        let records = [KeyedRecord::new(KEY, encode(&record))];
         let store = &self.shared.store;
         let sent = self.shared.clock.now();
         self.sent = sent;
@@ -362,7 +362,7 @@
     }
 
     fn take(&mut self, record: &bytes::Bytes) {
-        let value = Keyed::read(record).and_then(|r| r.value);
+        let value = KeyedRecord::parse(record).and_then(|r| r.value);
         match value.map(|v| decode::<Ownership>(&v)) {
             Some(Ok(record)) => self.accept(record),
             other => log::error!(record:? = other; "ownership record cannot be read"),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::{Instances, Keyed, Partition, STATUS_TOPIC, wave_status};
+use cactuswheel_adapter::{InstanceClient, KeyedRecord, Partition, STATUS_TOPIC, wave_status};
 use cactuswheel_capacity::{
     Action, History, LastOwner, OrderRecord, Planner, Reservation, Snapshot, Timings, reservations,
 };
@@ -103,7 +103,7 @@
         last: Option<LastOwner>,
     ) -> Option<Self> {
         let addr = shared.settings.instances?;
-        let service = Arc::new(Instances::new(addr));
+        let service = Arc::new(InstanceClient::new(addr));
         tokio::spawn(list(shared.clone(), service.clone(), events.clone()));
         let times = Timings {
             maintenance: shared.settings.times.maintenance,
@@ -240,17 +240,17 @@
             Action::Reopen(worker) => cell.reopen(&worker),
             Action::RecordWaveStart { wave } => {
                 let at = encode(&self.shared.clock.wall());
-                self.waves.write(Keyed::new(wave.to_string(), at));
+                self.waves.write(KeyedRecord::new(wave.to_string(), at));
             }
             Action::RecordMaintained { wave, instance } => {
                 log::info!(wave = wave, instance:% = instance; "instance maintained");
                 let key = format!("{wave}/{instance}");
-                self.maintained.write(Keyed::new(key, vec![1]));
+                self.maintained.write(KeyedRecord::new(key, vec![1]));
             }
             Action::ReportStatus { wave, complete } => {
                 log::info!(wave = wave, complete = complete; "wave told of");
                 let (key, value) = wave_status(wave, complete);
-                self.status.write(Keyed::new(key, value));
+                self.status.write(KeyedRecord::new(key, value));
             }
         }
     }
@@ -263,7 +263,7 @@
 /// while an append is under way go into the next one together.
 async fn order(
     shared: Arc<Shared>,
-    service: Arc<Instances>,
+    service: Arc<InstanceClient>,
     events: mpsc::Sender<Event>,
     mut queue: mpsc::UnboundedReceiver<Vec<Issued>>,
 ) {
@@ -275,9 +275,9 @@
         let records = orders.iter().map(|g| {
             let wave = wave(&g.order);
             let record = OrderRecord { life, at, wave };
-            Keyed::new(name(&g.order).as_str(), encode(&record))
+            KeyedRecord::new(name(&g.order).as_str(), encode(&record))
         });
-        let records: Vec<Keyed> = records.collect();
+        let records: Vec<KeyedRecord> = records.collect();
         let recorded = shared.orders.write(&shared.store, &records).await;
         if let Err(e) = &recorded {
             log::info!(error:% = e; "orders to instances not on record");
@@ -309,7 +309,7 @@
 /// Gives an order, unless it is not on record or this node may own the cell no more.
 async fn give(
     shared: &Shared,
-    service: &Instances,
+    service: &InstanceClient,
     events: &mpsc::Sender<Event>,
     given: &Issued,
     recorded: bool,
@@ -322,7 +322,7 @@
 }
 
 /// Lists instances until nobody takes the lists any more.
-async fn list(shared: Arc<Shared>, service: Arc<Instances>, events: mpsc::Sender<Event>) {
+async fn list(shared: Arc<Shared>, service: Arc<InstanceClient>, events: mpsc::Sender<Event>) {
     let mut lost = false;
     let mut quiet: Option<Vec<Instance>> = None;
     while !events.is_closed() {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cactuswheel_adapter::{DEADLINE_HEADER, KEY_HEADER, pending_body, read_job, state_body};
+use cactuswheel_adapter::{DEADLINE_HEADER, KEY_HEADER, parse_job, pending_body, state_body};
 use cactuswheel_cell::encode;
 use cactuswheel_model::Code;
 use cactuswheel_work::{FleetConfig, JobId, Queue, Submission, TeamName};
@@ -262,7 +262,7 @@
     ) -> Result<Answer, Refusal> {
         let start = self.shared.clock.now();
         let body = read_body(request, config.limits.body, target.max_wait).await?;
-        let job = read_job(&body).map_err(|e| Refusal::new(Code::BadJob, e.to_string()))?;
+        let job = parse_job(&body).map_err(|e| Refusal::new(Code::BadJob, e.to_string()))?;
         let sub = Submission {
             job: id,
             team: target.team.clone(),
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cactuswheel_adapter::{AppendError, Keyed, Partition, Producer, records_size};
+use cactuswheel_adapter::{AppendError, KeyedRecord, Partition, Producer, records_size};
 use cactuswheel_cell::{Slack, Standing};
 use cactuswheel_model::Time;
 use cactuswheel_work::Submission;
@@ -89,7 +89,7 @@
 const WITHDRAWN: u8 = 2;
 
 struct Entry {
-    record: Keyed,
+    record: KeyedRecord,
     stage: Arc<Stage>,
     reply: oneshot::Sender<Result<(), NotStored>>,
 }
@@ -192,7 +192,7 @@
         limit: Duration,
     ) -> Result<(), NotStored> {
         let part = intake_part(key.job(), self.partitions.len() as u32);
-        let record = Keyed::new(key.to_string(), value);
+        let record = KeyedRecord::new(key.to_string(), value);
         self.partitions[part as usize].store(record, limit).await
     }
 }
@@ -218,7 +218,7 @@
 
     /// Appends a record. A record that waits behind an append in doubt is withdrawn, so that its
     /// caller learns at once that nothing was stored.
-    async fn store(&self, record: Keyed, limit: Duration) -> Result<(), NotStored> {
+    async fn store(&self, record: KeyedRecord, limit: Duration) -> Result<(), NotStored> {
         if self.is_stuck() {
             return Err(NotStored::Refused);
         }
@@ -295,7 +295,7 @@
             if batch.is_empty() {
                 continue;
             }
-            let records: Vec<Keyed> = batch.iter().map(|e| e.record.clone()).collect();
+            let records: Vec<KeyedRecord> = batch.iter().map(|e| e.record.clone()).collect();
             let outcome = self.append(&records).await;
             for entry in batch {
                 // The caller may have stopped waiting.
@@ -305,7 +305,7 @@
     }
 
     /// Appends records, retrying until the outcome is certain.
-    async fn append(&mut self, records: &[Keyed]) -> Result<(), NotStored> {
+    async fn append(&mut self, records: &[KeyedRecord]) -> Result<(), NotStored> {
         let producer = Producer {
             name: self.name.clone(),
             epoch: 1,
--- a/crates/node/src/intake_follower.rs
+++ b/crates/node/src/intake_follower.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::{Keyed, Page, ReadError};
+use cactuswheel_adapter::{KeyedRecord, Page, ReadError};
 use cactuswheel_model::Time;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(crate) struct IntakePage {
     pub(crate) part: u32,
-    pub(crate) records: Vec<Keyed>,
+    pub(crate) records: Vec<KeyedRecord>,
     /// Offset of the next record to read.
     pub(crate) next: u64,
     /// When the read was sent, if it reached the end of the partition: every record stored before
@@ -39,7 +39,7 @@
         let next = page.from + page.records.len() as u64;
         Self {
             part,
-            records: page.records.iter().filter_map(Keyed::read).collect(),
+            records: page.records.iter().filter_map(KeyedRecord::parse).collect(),
             next,
             complete_at: (next >= page.end).then_some(sent),
         }
@@ -127,7 +127,10 @@
         };
         let first = *end.get_or_insert(page.end);
         after = page.items.last().map(|i| i.key.clone());
-        let records = page.items.into_iter().map(|i| Keyed::new(i.key, i.value));
+        let records = page
+            .items
+            .into_iter()
+            .map(|i| KeyedRecord::new(i.key, i.value));
         let read = IntakePage {
             part,
             records: records.collect(),
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use cactuswheel_adapter::{AppendError, Appended, Keyed, Producer};
+use cactuswheel_adapter::{AppendError, Appended, KeyedRecord, Producer};
 use cactuswheel_cell::Batch;
 use cactuswheel_work::JobId;
 use tokio::sync::mpsc;
@@ -57,7 +57,7 @@
             .filter(|(_, record)| record.is_none())
             .map(|(id, _)| *id)
             .collect();
-        let keyed = |key: String, value: Option<Vec<u8>>| Keyed {
+        let keyed = |key: String, value: Option<Vec<u8>>| KeyedRecord {
             key,
             value: value.map(Into::into),
         };
@@ -65,7 +65,7 @@
         let submissions = submissions.map(|(id, v)| keyed(IntakeKey::Submitted(id).to_string(), v));
         let states = batch.records.into_iter();
         let states = states.map(|(id, v)| keyed(id.to_string(), v));
-        let records: Vec<Keyed> = submissions.chain(states).collect();
+        let records: Vec<KeyedRecord> = submissions.chain(states).collect();
         // With the owner gone there is nobody to tell.
         if let Err(ShutOut) = self.write(&records).await {
             let _ = self.events.send(Event::Deposed).await;
@@ -80,7 +80,7 @@
 
     /// The same epoch and sequence number each time: the store does a repeat once, whatever
     /// became of the tries before.
-    async fn write(&self, records: &[Keyed]) -> Result<(), ShutOut> {
+    async fn write(&self, records: &[KeyedRecord]) -> Result<(), ShutOut> {
         let mut lost = false;
         while !self.events.is_closed() {
             let producer = Producer {
@@ -122,7 +122,7 @@
     async fn try_write(
         &self,
         producer: &Producer,
-        records: &[Keyed],
+        records: &[KeyedRecord],
         lost: &mut bool,
     ) -> Option<Result<Appended, AppendError>> {
         let append = append(&self.shared, "journal", JOURNAL, producer, records, || {});
@@ -145,12 +145,14 @@
         for part in 0..parts {
             let here = jobs.iter().filter(|id| intake_part(**id, parts) == part);
             let keys = here.flat_map(|id| [IntakeKey::Submitted(*id), IntakeKey::Cancelled(*id)]);
-            let records: Vec<Keyed> = keys.map(|k| Keyed::dropped(k.to_string())).collect();
+            let records: Vec<KeyedRecord> = keys
+                .map(|k| KeyedRecord::tombstone(k.to_string()))
+                .collect();
             self.drop_keys(part, &records).await;
         }
     }
 
-    async fn drop_keys(&self, part: u32, records: &[Keyed]) {
+    async fn drop_keys(&self, part: u32, records: &[KeyedRecord]) {
         if records.is_empty() {
             return;
         }
--- a/crates/node/src/order_log.rs
+++ b/crates/node/src/order_log.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use cactuswheel_adapter::{AppendError, Item, Keyed, ReadError, Store};
+use cactuswheel_adapter::{AppendError, Item, KeyedRecord, ReadError, StoreClient};
 use futures::future::join_all;
 use tokio::time::sleep;
 
@@ -43,7 +43,11 @@
     }
 
     /// Writes records to the first partition that takes them.
-    pub async fn write(&self, store: &Store, records: &[Keyed]) -> Result<(), AppendError> {
+    pub async fn write(
+        &self,
+        store: &StoreClient,
+        records: &[KeyedRecord],
+    ) -> Result<(), AppendError> {
         let begun = Instant::now();
         let first = self.good.load(Ordering::Relaxed);
         let mut part = first;
@@ -65,7 +69,7 @@
     }
 
     /// Every partition's newest record of each instance; `None` if one cannot be read.
-    pub async fn read(&self, store: &Store) -> Option<Vec<Item>> {
+    pub async fn read(&self, store: &StoreClient) -> Option<Vec<Item>> {
         let parts = (0..self.parts).map(|part| read_part(store, part));
         let read = join_all(parts).await;
         let read: Option<Vec<Vec<Item>>> = read.into_iter().collect();
@@ -73,7 +77,7 @@
     }
 }
 
-async fn read_part(store: &Store, part: u32) -> Option<Vec<Item>> {
+async fn read_part(store: &StoreClient, part: u32) -> Option<Vec<Item>> {
     for _ in 0..READ_TRIES {
         match pages(store, part).await {
             Ok(items) => return Some(items),
@@ -84,7 +88,7 @@
     None
 }
 
-async fn pages(store: &Store, part: u32) -> Result<Vec<Item>, ReadError> {
+async fn pages(store: &StoreClient, part: u32) -> Result<Vec<Item>, ReadError> {
     let mut items: Vec<Item> = Vec::new();
     loop {
         let after = items.last().map(|i| i.key.clone());
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use cactuswheel_adapter::{Link, Orders};
+use cactuswheel_adapter::{HttpClient, WorkerClient};
 use cactuswheel_model::{Map, Time};
 use cactuswheel_rtt::RttEstimator;
 use cactuswheel_work::{HoldOrder, PaceOrder, StartOrder, StartOutcome, StopOrder, WorkerId};
@@ -77,7 +77,7 @@
 /// The connections to one worker.
 struct WorkerConn {
     addr: SocketAddr,
-    orders: Arc<Orders>,
+    orders: Arc<WorkerClient>,
     lanes: Arc<Semaphore>,
     /// Newest fencing token that any order carried; older orders are not sent any more.
     fence: Arc<AtomicU64>,
@@ -144,7 +144,7 @@
         let now = self.shared.clock.now();
         let fresh = || WorkerConn {
             addr,
-            orders: Arc::new(Orders::new(id.clone(), Link::new(addr))),
+            orders: Arc::new(WorkerClient::new(id.clone(), HttpClient::new(addr))),
             lanes: Arc::new(Semaphore::new(LANES)),
             fence: Arc::new(AtomicU64::new(0)),
             look: None,
@@ -169,7 +169,7 @@
         }
         let orders = conn.orders.clone();
         let task = tokio::spawn(async move {
-            let answer = orders.hold(&order, limit).await;
+            let answer = orders.poll(&order, limit).await;
             sink.tell(Report::Looked(worker, look, answer)).await;
         });
         conn.look = Some(task.abort_handle());
@@ -243,7 +243,11 @@
 }
 
 /// Orders a start, and learns from how long its answer takes.
-async fn start_within(orders: &Orders, order: &StartOrder, answers: &RttEstimator) -> StartOutcome {
+async fn start_within(
+    orders: &WorkerClient,
+    order: &StartOrder,
+    answers: &RttEstimator,
+) -> StartOutcome {
     let sent = Instant::now();
     let outcome = orders.start(order, answers.limit()).await;
     match outcome {
--- a/crates/node/src/record_writer.rs
+++ b/crates/node/src/record_writer.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::{Keyed, Partition};
+use cactuswheel_adapter::{KeyedRecord, Partition};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct RecordWriter {
     /// Each instance and each wave has a record or two, so there are never many.
-    queue: mpsc::UnboundedSender<Keyed>,
+    queue: mpsc::UnboundedSender<KeyedRecord>,
 }
 
 impl RecordWriter {
@@ -35,7 +35,7 @@
         Self { queue }
     }
 
-    pub(crate) fn write(&self, record: Keyed) {
+    pub(crate) fn write(&self, record: KeyedRecord) {
         if self.queue.send(record).is_err() {
             log::warn!("record not written: nobody owns the cell here any more");
         }
@@ -46,7 +46,7 @@
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
     to: Partition,
-    mut queue: mpsc::UnboundedReceiver<Keyed>,
+    mut queue: mpsc::UnboundedReceiver<KeyedRecord>,
 ) {
     while let Some(first) = queue.recv().await {
         let mut records = vec![first];
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::{Keyed, ReadError, read_worker};
+use cactuswheel_adapter::{KeyedRecord, ReadError, parse_worker};
 use cactuswheel_model::Set;
 use cactuswheel_work::WorkerId;
 use tokio::sync::mpsc;
@@ -61,12 +61,12 @@
         after = page.items.last().map(|i| i.key.clone());
         for item in page.items {
             listed.insert(item.key.as_str().into());
-            publish(events, known, Keyed::new(item.key, item.value)).await;
+            publish(events, known, KeyedRecord::new(item.key, item.value)).await;
         }
         if !page.more {
             let gone: Vec<WorkerId> = known.difference(&listed).cloned().collect();
             for id in gone {
-                publish(events, known, Keyed::dropped(id.as_str())).await;
+                publish(events, known, KeyedRecord::tombstone(id.as_str())).await;
             }
             // The receiver has received every entry before this event.
             let _ = events.send(Event::RosterComplete).await;
@@ -100,7 +100,7 @@
         }
         next += page.records.len() as u64;
         for record in &page.records {
-            match Keyed::read(record) {
+            match KeyedRecord::parse(record) {
                 Some(record) => publish(events, known, record).await,
                 None => log::warn!(offset = page.from; "ignoring roster record without a key"),
             }
@@ -110,9 +110,9 @@
 }
 
 /// Sends the owner the event for a worker's record; an invalid entry counts as removed.
-async fn publish(events: &mpsc::Sender<Event>, known: &mut Set<WorkerId>, record: Keyed) {
+async fn publish(events: &mpsc::Sender<Event>, known: &mut Set<WorkerId>, record: KeyedRecord) {
     let id = WorkerId::from(record.key);
-    let entry = record.value.map(|value| read_worker(id.as_str(), &value));
+    let entry = record.value.map(|value| parse_worker(id.as_str(), &value));
     let event = match entry {
         Some(Ok(entry)) => {
             known.insert(id);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use cactuswheel_adapter::Store;
+use cactuswheel_adapter::StoreClient;
 use cactuswheel_model::{Set, Time};
 use cactuswheel_relay::SpecCache;
 use cactuswheel_rtt::RttEstimator;
@@ -29,7 +29,7 @@
     /// Random number that identifies this process among all runs of the node.
     pub(crate) life: u64,
     pub(crate) clock: Clock,
-    pub(crate) store: Store,
+    pub(crate) store: StoreClient,
     /// Log of the orders sent to instances.
     pub(crate) orders: OrderLog,
     /// Latency of appends to the store.
@@ -102,7 +102,7 @@
 impl Shared {
     pub(crate) fn new(settings: Settings, life: u64, metrics: Metrics) -> Self {
         Self {
-            store: Store::new(settings.store),
+            store: StoreClient::new(settings.store),
             orders: OrderLog::new(settings.parts),
             append_rtt: RttEstimator::new(MIN_APPEND_TIMEOUT, MAX_APPEND_TIMEOUT),
             min_expiry: min_expiry_for(settings.link),
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -63,9 +63,9 @@
     sleep(Duration::from_secs(1)).await;
     report
         .broken
-        .extend(world.platform.ledger(|l| l.broken.clone()));
+        .extend(world.platform.ledger(|l| l.violations.clone()));
     for job in &accepted {
-        let starts = world.platform.ledger(|l| l.starts_of(&job.id));
+        let starts = world.platform.ledger(|l| l.start_count(&job.id));
         if (starts as usize) < job.tasks {
             report.broken.push(format!(
                 "{}: {starts} starts, {} tasks",
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -60,11 +60,11 @@
         };
         world.configure();
         for number in 0..count {
-            let proxy = Proxy::start(host, world.platform.store()).await;
+            let proxy = Proxy::start(host, world.platform.store_addr()).await;
             let proxy = proxy.expect("loopback has free ports");
             let port = PORT + 4 * number as u16;
             let name = format!("n{number}");
-            let cloud = world.platform.instances();
+            let cloud = world.platform.instances_addr();
             let mut node = Node::new(&name, host, port, proxy.addr(), cloud, &own(number));
             node.start();
             world.nodes.push(node);
