--- a/crates/local/src/instances.rs
+++ b/crates/local/src/instances.rs
@@ -1,22 +1,23 @@
-//! The list of instances and orders to them.
+//! Instances as the platform lists them.
 
 use cactuswheel_work::Room;
 use serde_json::{Value, json};
 
-/// An instance of the instance.
+/// An instance of the platform.
 #[derive(Debug, Clone)]
 pub(crate) struct Instance {
     pub(crate) name: String,
     pub(crate) pool: String,
     pub(crate) state: &'static str,
-    /// Place of its worker among all that ever lived; `None` while it has none.
+    /// Index in `State::workers` of the worker that runs on it; `None` while none runs.
     pub(crate) worker: Option<usize>,
-    /// Highest token of an order.
+    /// Highest fencing token of the orders to it.
     pub(crate) fence: u64,
-    /// Waves that it had its maintenance for.
+    /// Numbers of the maintenance waves that it has been ordered to maintenance for.
     pub(crate) maintained: Vec<u64>,
 }
 
+/// JSON form of an instance in the list of instances.
 pub(crate) fn instance_json(instance: &Instance, worker: Option<&str>, room: Room) -> Value {
     json!({
         "machine": instance.name, "pool": instance.pool, "state": instance.state, "zone": "local",
--- a/crates/local/src/ledger.rs
+++ b/crates/local/src/ledger.rs
@@ -1,21 +1,21 @@
-//! What tests judge by: every run that was carried out.
+//! Ledger of all runs, from which tests detect violations.
 
 use std::time::Instant;
 
 use cactuswheel_model::Map;
 
-/// Every run that was carried out.
+/// Ledger of all runs that the workers have executed.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Runs that are there, by task: run and worker.
+    /// Current run of each task and the id of its worker.
     running: Map<String, (u64, String)>,
-    /// When a task's end as done happened that was acknowledged.
+    /// Tasks whose successful end was acknowledged, with the time of the first acknowledgement.
     done: Map<String, Instant>,
-    /// Starts of each task.
+    /// Number of starts of each task.
     pub starts: Map<String, u64>,
-    /// What each job's first start ran, by job.
+    /// Spec of the first start of each job, by job.
     pub specs: Map<String, String>,
-    /// Rules that were violations.
+    /// Descriptions of the violations.
     pub violations: Vec<String>,
 }
 
@@ -24,7 +24,9 @@
         let job = task.split('.').next().unwrap_or_default().to_owned();
         let first = self.specs.entry(job).or_insert_with(|| spec.to_owned());
         if first != spec {
-            let line = format!("{task} run {run} on {worker}: started with another spec");
+            let line = format!(
+                "{task} run {run} on {worker}: started with a spec other than that of its job"
+            );
             self.violations.push(line);
         }
         *self.starts.entry(task.to_owned()).or_default() += 1;
@@ -55,12 +57,12 @@
             .or_insert_with(Instant::now);
     }
 
-    /// Tasks of a job whose end as done was acknowledged.
+    /// Number of a job's tasks whose successful end was acknowledged.
     pub fn done_count(&self, job: &str) -> usize {
         self.done.keys().filter(|t| t.starts_with(job)).count()
     }
 
-    /// Starts of a job's tasks.
+    /// Number of starts of all tasks of a job.
     pub fn start_count(&self, job: &str) -> u64 {
         let starts = self.starts.iter().filter(|(t, _)| t.starts_with(job));
         starts.map(|(_, n)| n).sum()
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,8 +1,10 @@
-//! The platform on loopback: its store, workers and instances, in the memory of one process.
+//! Stand-in of the customers' platform on loopback, for tests, the soak and local trials: its
+//! store, workers and instances run in the memory of one process.
 //!
-//! A stand-in for tests, the soak and a first look; it speaks the platform's protocol as far as
-//! the nodes use it. It also keeps the ledger that tests judge by: which runs were there at the
-//! same time, and which tasks were started again after their end was acknowledged.
+//! It implements the part of the platform's protocol that the nodes use. It also keeps a ledger of
+//! all runs, from which tests detect violations: runs of one task on two workers at the same time,
+//! tasks that were started again after their end was acknowledged, and tasks of one job that were
+//! started with different specs.
 
 mod instances;
 mod ledger;
--- a/crates/local/src/platform.rs
+++ b/crates/local/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform as a whole.
+//! The platform and its HTTP servers.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,37 +19,40 @@
 use crate::store::{JsonResponse, Store};
 use crate::worker::Worker;
 
-/// How often workers get on.
+/// Interval at which the workers' runs are advanced.
 const TICK: Duration = Duration::from_millis(10);
 
-/// How often workers write their entries.
+/// Interval at which workers write their entries.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time that a move or maintenance takes.
+/// Time that a move to another pool or maintenance takes.
 const ORDER_DURATION: Duration = Duration::from_millis(400);
 
-/// Time after which a worker that its work has taken down is followed by another life.
+/// Time after which a worker that one of its runs has crashed is replaced by a new one.
 const RESTART_DELAY: Duration = Duration::from_millis(800);
 
-/// A pool of the platform.
+/// A pool of instances.
 #[derive(Debug, Clone)]
 pub struct Pool {
-    /// Service that it serves.
+    /// Name of the pool and of the service that it serves.
     pub service: String,
-    /// Its instances.
+    /// Number of instances in the pool.
     pub count: usize,
-    /// They are off.
+    /// Whether the instances are powered off, so that no worker runs on them.
     pub spare: bool,
 }
 
+/// State that all clones of a [`Platform`] share.
 struct Inner {
     state: Mutex<State>,
+    /// Notified when the store has new records or a run has ended.
     changed: Notify,
     host: IpAddr,
+    /// Names of the pools whose instances are powered off.
     spare_pools: Vec<String>,
 }
 
-/// The platform on loopback; copies share it.
+/// The platform on loopback; clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     inner: Arc<Inner>,
@@ -58,7 +61,8 @@
 }
 
 impl Platform {
-    /// Starts the platform on `host`, with a seed for what its faults hit.
+    /// Starts the platform on `host`. `seed` determines which calls the faults given in percent
+    /// hit.
     pub async fn start(host: IpAddr, pools: &[Pool], seed: u64) -> std::io::Result<Self> {
         let store = TcpListener::bind((host, 0)).await?;
         let cloud = TcpListener::bind((host, 0)).await?;
@@ -100,47 +104,47 @@
         Ok(platform)
     }
 
-    /// Where the store is.
+    /// Address of the store.
     pub fn store_addr(&self) -> SocketAddr {
         self.store_addr
     }
 
-    /// Where instances are listed and ordered.
+    /// Address of the service that lists the instances and takes orders to them.
     pub fn instances_addr(&self) -> SocketAddr {
         self.instances_addr
     }
 
-    /// Switches faults.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: Faults) {
         self.lock().faults = faults;
     }
 
-    /// Deletes the store's history; the newest record of each key stays.
+    /// Deletes all records of the store; the newest value of each key stays available.
     pub fn compact(&self) {
         self.lock().store.compact();
     }
 
-    /// The operator writes a record.
+    /// Writes a record on behalf of an operator.
     pub fn put(&self, key: &str, value: &Value) {
         let value = value.to_string();
         self.lock().store.put("keyed.op", key, value.as_bytes());
         self.inner.changed.notify_waiters();
     }
 
-    /// The operator drops a record.
+    /// Removes a record on behalf of an operator.
     pub fn remove(&self, key: &str) {
         self.lock().store.put("keyed.op", key, &[]);
         self.inner.changed.notify_waiters();
     }
 
-    /// The newest value that the system told the operator under `key`.
+    /// Newest status record for the operators under `key`, if it is JSON.
     pub fn status(&self, key: &str) -> Option<Value> {
         let newest = self.lock().store.newest_value("keyed.status", key)?;
         serde_json::from_slice(&newest).ok()
     }
 
-    /// One worker crashes; its instance starts another life after `pause`, under the same name if
-    /// `same_id`.
+    /// Crashes the worker on one instance, chosen by `pick` among those with a worker. After
+    /// `pause`, a new worker starts on the instance, with the same id if `same_id`.
     pub fn crash(&self, pick: usize, pause: Duration, same_id: bool) {
         let mut state = self.lock();
         let up: Vec<usize> = (0..state.instances.len())
@@ -162,17 +166,18 @@
         });
     }
 
-    /// What tests judge by.
+    /// Reads the ledger.
     pub fn ledger<T>(&self, read: impl FnOnce(&Ledger) -> T) -> T {
         read(&self.lock().ledger)
     }
 
-    /// Tells another address for what listens at `own`, in workers' entries.
+    /// Makes workers that listen on `own` write `advertised` into their entries instead, such as
+    /// the address of a proxy.
     pub fn advertise(&self, own: SocketAddr, advertised: SocketAddr) {
         self.lock().advertised.push((own, advertised));
     }
 
-    /// Instances in a pool whose worker is up.
+    /// Number of instances in a pool on which a worker runs.
     pub fn serving_count(&self, pool: &str) -> usize {
         let state = self.lock();
         let up = state.instances.iter();
@@ -206,7 +211,8 @@
         format!("i-{}", state.last_id)
     }
 
-    /// Ends the last_id of workers that their work takes down; each is followed by another at its address.
+    /// Kills the workers that one of their runs crashes. After [`RESTART_DELAY`], a new worker
+    /// starts at the same address.
     fn replace_crashed(&self, state: &mut State) {
         for index in 0..state.instances.len() {
             let worker_index = state.instances[index].worker;
@@ -222,7 +228,7 @@
             tokio::spawn(async move {
                 sleep(RESTART_DELAY).await;
                 let id = platform.next_worker_id();
-                // With its port taken the instance stays away.
+                // If the port is taken by then, the instance stays without a worker.
                 let _ = platform.start_worker_as(index, id, port).await;
             });
         }
@@ -259,13 +265,13 @@
             while !platform.lock().workers[worker_index].0.dead {
                 sleep(TICK).await;
             }
-            // Its listener goes with it; open connections are answered no more.
+            // Closes the listener. Requests on open connections get no response any more.
             server.abort();
         });
         Ok(())
     }
 
-    /// Workers get on, and write their entries.
+    /// Advances the workers' runs and writes the workers' entries.
     async fn run_workers(self) {
         let mut last_beat = Instant::now();
         let mut seq = 0;
@@ -378,7 +384,7 @@
             Some(response) => json_response(response),
             None => {
                 let ended = timeout(wait, self.inner.changed.notified());
-                // Either way the status are told as they are then.
+                // After an end and after the timeout alike, the current status is returned.
                 let _ = ended.await;
                 let status = {
                     let state = self.lock();
@@ -406,7 +412,7 @@
             let platform = self.clone();
             tokio::spawn(async move {
                 sleep(ORDER_DURATION).await;
-                // With no port left the instance stays away.
+                // If no port is free, the instance stays without a worker.
                 let _ = platform.start_worker(index).await;
             });
         }
--- a/crates/local/src/query.rs
+++ b/crates/local/src/query.rs
@@ -1,11 +1,11 @@
-//! Queries of requests.
+//! Requests to the platform.
 
 use cactuswheel_model::Map;
 use http_body_util::BodyExt;
 use hyper::Request;
 use hyper::body::{Bytes, Incoming};
 
-/// A request's path, query and body.
+/// Path, query parameters and body of a request.
 pub(crate) struct ParsedRequest {
     pub(crate) path: String,
     query: Map<String, String>,
@@ -18,7 +18,7 @@
         let query = request.uri().query().unwrap_or_default();
         let pairs = query.split('&').filter_map(|p| p.split_once('='));
         let query = pairs.map(|(k, v)| (k.to_owned(), v.to_owned())).collect();
-        // A caller that breaks off has sent nothing that counts.
+        // A body that the caller does not complete counts as empty.
         let body = request.into_body().collect().await;
         let body = body.map(|b| b.to_bytes()).unwrap_or_default();
         Self { path, query, body }
--- a/crates/local/src/state.rs
+++ b/crates/local/src/state.rs
@@ -1,4 +1,4 @@
-//! What the platform holds, behind one lock.
+//! State of the platform, guarded by one lock.
 
 use std::net::SocketAddr;
 
@@ -11,40 +11,46 @@
 use crate::store::{JsonResponse, Store};
 use crate::worker::Worker;
 
-/// What a worker has.
+/// Capacity of each worker.
 pub(crate) const WORKER_ROOM: Room = Room {
     cpu: 16_000,
     memory: 32_768,
     gpu: 0,
 };
 
-/// Faults that a test switches.
+/// Faults that a test can switch on.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Faults {
-    /// The store answers 503 and does nothing.
+    /// The store responds with 503 to every request and executes none.
     pub store_down: bool,
-    /// One partition of every topic answers 503 and does nothing.
+    /// The store responds with 503 to every request for the partition with this number of any
+    /// topic, and executes none.
     pub part_down: Option<u64>,
-    /// In percent: writes that are done and not answered.
+    /// Percentage of appends that are executed, but whose response is held back for 5 s.
     pub lost_writes: u32,
-    /// In percent: orders to workers that are carried out and not answered.
+    /// Percentage of orders to workers that are executed, but whose response is held back for 5 s.
     pub lost_orders: u32,
 }
 
-/// What the platform holds.
+/// State of the platform.
 pub(crate) struct State {
     pub(crate) store: Store,
+    /// All workers that have been started, dead ones included, with their addresses.
     pub(crate) workers: Vec<(Worker, SocketAddr)>,
     pub(crate) instances: Vec<Instance>,
     pub(crate) ledger: Ledger,
     pub(crate) faults: Faults,
+    /// State of the random number generator.
     pub(crate) rng: u64,
+    /// Number in the newest worker id.
     pub(crate) last_id: u64,
-    /// Address that is advertised for a worker in index of its own, such as a proxy's.
+    /// Addresses that workers write into their entries instead of their own, as `(own,
+    /// advertised)`.
     pub(crate) advertised: Vec<(SocketAddr, SocketAddr)>,
 }
 
 impl State {
+    /// Returns true with a probability of `percent`.
     pub(crate) fn chance(&mut self, percent: u32) -> bool {
         self.rng ^= self.rng << 13;
         self.rng ^= self.rng >> 7;
@@ -52,7 +58,8 @@
         self.rng % 100 < u64::from(percent)
     }
 
-    /// The worker on an instance is gone, and its entry with it; gives its name.
+    /// Kills the worker on an instance and removes its entry. Returns its id, or an empty one if no
+    /// worker runs there.
     pub(crate) fn kill_worker(&mut self, index: usize) -> String {
         let Some(worker_index) = self.instances[index].worker.take() else {
             return String::new();
@@ -76,7 +83,8 @@
         )
     }
 
-    /// Carries an order out; gives the instance that has to start another life.
+    /// Executes an order to an instance. Returns the response and, if the move or maintenance begins
+    /// now, the index of the instance, on which a new worker has to start afterwards.
     pub(crate) fn order(
         &mut self,
         path: &str,
--- a/crates/local/src/store.rs
+++ b/crates/local/src/store.rs
@@ -11,10 +11,11 @@
 
 use crate::query::ParsedRequest;
 
-/// Appends of a producer that are response again when they are repeated.
+/// Number of appends of a producer whose response is remembered, to repeat it for a repeated
+/// append.
 const MAX_REMEMBERED: usize = 5;
 
-/// Records of a page of the newest ones.
+/// Maximum number of records in a page of newest records.
 const PAGE_SIZE: usize = 500;
 
 /// The log store: partitions by topic and number.
@@ -25,10 +26,10 @@
 
 #[derive(Debug, Default)]
 struct Part {
-    /// Offset of the first record that is kept.
+    /// Offset of the first record that has not been deleted.
     first: u64,
     records: Vec<Bytes>,
-    /// Newest record of each key, with its offset.
+    /// Newest value of each key, with the offset of its record.
     newest: BTreeMap<String, (Bytes, u64)>,
     producers: Map<String, Producer>,
 }
@@ -36,11 +37,11 @@
 #[derive(Debug, Default)]
 struct Producer {
     epoch: u64,
-    /// Answers to the recent appends, by sequence number.
+    /// Sequence numbers and responses of the most recent appends, oldest first.
     recent: Vec<(u64, Value)>,
 }
 
-/// A status and a body.
+/// Status and JSON body of a response.
 pub(crate) type JsonResponse = (StatusCode, Value);
 
 impl Store {
@@ -73,7 +74,7 @@
         (StatusCode::OK, response)
     }
 
-    /// Puts a keyed record in, as the operator and the workers do.
+    /// Appends a keyed record to partition 0 of a topic, on behalf of an operator or a worker.
     pub(crate) fn put(&mut self, topic: &str, key: &str, value: &[u8]) {
         let part = self.parts.entry((topic.to_owned(), 0)).or_default();
         let mut record = vec![key.len() as u8];
@@ -82,7 +83,8 @@
         part.add(record.into(), true);
     }
 
-    /// Records from an offset on, framed; `None` if there are none yet.
+    /// Body of a response with all records from the requested offset on; `None` if there are none
+    /// yet.
     pub(crate) fn read(
         &mut self,
         request: &ParsedRequest,
@@ -104,7 +106,7 @@
         Ok((body.len() > empty).then_some(body))
     }
 
-    /// The answer to a read that waited for nothing.
+    /// Body of a response without records, for a read whose wait has timed out.
     pub(crate) fn empty_page(&mut self, request: &ParsedRequest) -> Vec<u8> {
         let part = self.part(request);
         [part.end().to_be_bytes(), part.first.to_be_bytes()].concat()
@@ -127,13 +129,13 @@
         )
     }
 
-    /// The newest value of a key.
+    /// Newest value of a key in partition 0 of a topic.
     pub(crate) fn newest_value(&self, topic: &str, key: &str) -> Option<Bytes> {
         let part = self.parts.get(&(topic.to_owned(), 0))?;
         part.newest.get(key).map(|(value, _)| value.clone())
     }
 
-    /// Deletes all records of every partition; the newest of each key stays.
+    /// Deletes all records of every partition; the newest value of each key stays available.
     pub(crate) fn compact(&mut self) {
         for part in self.parts.values_mut() {
             part.first = part.end();
@@ -161,7 +163,8 @@
         self.records.push(record);
     }
 
-    /// An answer that stands in the way of an append: shut out, out of turn, or done before.
+    /// Returns the response to an append that must not be executed: its producer is fenced off, its
+    /// sequence number is wrong, or it repeats an earlier one.
     fn check_producer(&mut self, request: &ParsedRequest) -> Option<JsonResponse> {
         let producer = request.text("producer")?;
         let (epoch, seq) = (request.number("epoch")?, request.number("seq")?);
@@ -182,6 +185,7 @@
         mismatch.map(|n| (StatusCode::CONFLICT, json!({ "reason": "seq", "seq": n })))
     }
 
+    /// Remembers the response to an append of a producer.
     fn remember(&mut self, request: &ParsedRequest, response: &Value) {
         let producer = request
             .text("producer")
@@ -196,6 +200,7 @@
     }
 }
 
+/// Splits the body of an append into its records, each of which follows its size in 4 bytes.
 fn split_records(body: &Bytes) -> Vec<Bytes> {
     let mut found = Vec::new();
     let mut rest = body.clone();
--- a/crates/local/src/worker.rs
+++ b/crates/local/src/worker.rs
@@ -1,4 +1,4 @@
-//! One life of a worker.
+//! A worker, during one incarnation.
 
 use std::time::{Duration, Instant};
 
@@ -10,38 +10,46 @@
 use crate::ledger::Ledger;
 use crate::store::JsonResponse;
 
-/// Longest lease that a worker grants.
+/// Longest lease that a worker grants, in milliseconds.
 const MAX_LEASE_MS: u64 = 6_000;
 
-/// Work of a task whose spec names none.
+/// Duration of a run whose spec gives none.
 const DEFAULT_WORK: Duration = Duration::from_millis(150);
 
 #[derive(Debug)]
 struct Run {
+    /// Which run of the task.
     run: u64,
     since: Instant,
-    /// `None` for a run that lasts.
+    /// Duration of the run; `None` for a long-running task.
     work: Option<Duration>,
-    /// Time after which it takes the worker down.
+    /// Time after which the run crashes its worker.
     crash_after: Option<Duration>,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) id: String,
+    /// Start of this incarnation, in milliseconds since 1970.
     pub(crate) born: u64,
     pub(crate) service: String,
     start: Instant,
+    /// Highest fencing token seen.
     fence: u64,
+    /// When the lease expires, in milliseconds of the worker's clock.
     expiry: u64,
     running: Map<String, Run>,
+    /// Ends that have not been acknowledged, as `(number, task, run, how)`.
     ended: Vec<(u64, String, u64, &'static str)>,
+    /// Highest run of each task that has ended or was stopped; it and lower ones cannot start.
     closed: Map<String, u64>,
+    /// Number of the next end.
     next_end: u64,
-    /// Ends up to this number came before a lease ran out: their owner had to give them up.
+    /// Number of the newest end before the last expiry of the lease. The owner had to give up the
+    /// runs of these ends, so an acknowledgement of them is not recorded in the ledger.
     expired_through: u64,
-    /// Gone: nothing of it counts any more.
+    /// Whether the worker has crashed or was stopped. It then responds to no request.
     pub(crate) dead: bool,
 }
 
@@ -63,10 +71,12 @@
         }
     }
 
+    /// Milliseconds on the worker's own clock, which starts at 1000.
     fn clock(&self) -> u64 {
         1_000 + self.start.elapsed().as_millis() as u64
     }
 
+    /// The entry that the worker writes about itself, with the sequence number `seq`.
     pub(crate) fn entry(&self, addr: &str, room: Room, seq: u64) -> Value {
         json!({
             "service": self.service, "addr": addr, "zone": "local", "version": "v1", "slots": 8,
@@ -76,7 +86,8 @@
         })
     }
 
-    /// Lets work go on; true if something ended.
+    /// Ends the runs that are complete, and all runs if the lease has expired. Returns whether any
+    /// run has ended.
     pub(crate) fn advance(&mut self, ledger: &mut Ledger) -> bool {
         let before = self.ended.len();
         if self.clock() > self.expiry {
@@ -97,13 +108,13 @@
         self.ended.len() > before
     }
 
-    /// Whether a run takes the worker down now.
+    /// Whether a run crashes the worker now.
     pub(crate) fn crash_due(&self) -> bool {
         let mut runs = self.running.values();
         runs.any(|r| r.crash_after.is_some_and(|t| r.since.elapsed() >= t))
     }
 
-    /// Everything here is gone, without an end that anybody hears of.
+    /// Stops the worker and all of its runs; no ends are reported.
     pub(crate) fn kill(&mut self, ledger: &mut Ledger) {
         self.dead = true;
         for (task, run) in self.running.drain() {
@@ -123,6 +134,7 @@
         self.next_end += 1;
     }
 
+    /// Refuses an order with a fencing token lower than the highest seen.
     fn check_fence(&mut self, order: &Value) -> Option<JsonResponse> {
         let fence = order["fence"].as_u64().unwrap_or_default();
         if fence < self.fence {
@@ -160,7 +172,7 @@
         }
         let text = order["spec"].as_str().unwrap_or_default();
         let spec = text.split_once('=');
-        // Of such a job it is the first task.
+        // Only the first task of such a job crashes its worker.
         let crash_after = match spec {
             Some(("crash_ms", ms)) if task.ends_with(".0.0.0") => ms.parse().ok(),
             _ => None,
@@ -199,7 +211,8 @@
         (StatusCode::OK, json!({ "clock_ms": self.clock() }))
     }
 
-    /// Renews and acknowledges; `None` if the answer may wait for an end.
+    /// Renews the lease and forgets the ends that the order acknowledges. Returns whether there are
+    /// ends left to report; if not, the response may be delayed until a run ends.
     pub(crate) fn poll(
         &mut self,
         order: &Value,
@@ -222,6 +235,7 @@
         Ok(!self.ended.is_empty())
     }
 
+    /// Response to a poll: the running runs and the ends that have not been acknowledged.
     pub(crate) fn status(&self) -> JsonResponse {
         let running: Vec<Value> = self
             .running
