--- a/crates/local/src/state.rs
+++ b/crates/local/src/state.rs
@@ -1,4 +1,4 @@
-//! What the platform holds, behind one lock.
+//! State of the platform, guarded by one lock.
 
 use std::net::SocketAddr;
 
@@ -6,45 +6,51 @@
 use hyper::StatusCode;
 use serde_json::{Value, json};
 
-use crate::instances::{Stock, listed};
+use crate::instances::{Instance, instance_json};
 use crate::ledger::Ledger;
-use crate::store::{Store, Told};
+use crate::store::{JsonResponse, Store};
 use crate::worker::Worker;
 
-/// What a worker has.
-pub(crate) const ROOM: Room = Room {
+/// Capacity of each worker.
+pub(crate) const WORKER_ROOM: Room = Room {
     cpu: 16_000,
     memory: 32_768,
     gpu: 0,
 };
 
-/// Faults that a test switches.
+/// Faults that a test can switch on.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Faults {
-    /// The store answers 503 and does nothing.
+    /// The store responds with 503 to every request and executes none.
     pub store_down: bool,
-    /// One partition of every topic answers 503 and does nothing.
+    /// The store responds with 503 to every request for the partition with this number of any
+    /// topic, and executes none.
     pub part_down: Option<u64>,
-    /// In percent: writes that are done and not answered.
+    /// Percentage of appends that are executed, but whose response is held back for 5 s.
     pub lost_writes: u32,
-    /// In percent: orders to workers that are carried out and not answered.
+    /// Percentage of orders to workers that are executed, but whose response is held back for 5 s.
     pub lost_orders: u32,
 }
 
-/// What the platform holds.
+/// State of the platform.
 pub(crate) struct State {
     pub(crate) store: Store,
+    /// All workers that have been started, dead ones included, with their addresses.
     pub(crate) workers: Vec<(Worker, SocketAddr)>,
-    pub(crate) stock: Vec<Stock>,
+    pub(crate) instances: Vec<Instance>,
     pub(crate) ledger: Ledger,
     pub(crate) faults: Faults,
+    /// State of the random number generator.
     pub(crate) rng: u64,
-    pub(crate) lives: u64,
-    /// Address that is told for a worker in place of its own, such as a proxy's.
-    pub(crate) told: Vec<(SocketAddr, SocketAddr)>,
+    /// Number in the newest worker id.
+    pub(crate) last_id: u64,
+    /// Addresses that workers write into their entries instead of their own, as `(own,
+    /// advertised)`.
+    pub(crate) advertised: Vec<(SocketAddr, SocketAddr)>,
 }
 
 impl State {
+    /// Returns true with a probability of `percent`.
     pub(crate) fn chance(&mut self, percent: u32) -> bool {
         self.rng ^= self.rng << 13;
         self.rng ^= self.rng >> 7;
@@ -52,22 +58,23 @@
         self.rng % 100 < u64::from(percent)
     }
 
-    /// The worker on an instance is gone, and its entry with it; gives its name.
-    pub(crate) fn end_life(&mut self, place: usize) -> String {
-        let Some(number) = self.stock[place].worker.take() else {
+    /// Kills the worker on an instance and removes its entry. Returns its id, or an empty one if no
+    /// worker runs there.
+    pub(crate) fn kill_worker(&mut self, index: usize) -> String {
+        let Some(worker_index) = self.instances[index].worker.take() else {
             return String::new();
         };
-        let (worker, _) = &mut self.workers[number];
-        worker.die(&mut self.ledger);
+        let (worker, _) = &mut self.workers[worker_index];
+        worker.kill(&mut self.ledger);
         let id = worker.id.clone();
         self.store.put("keyed.servers", &id, &[]);
         id
     }
 
-    pub(crate) fn list(&self) -> Told {
-        let machines = self.stock.iter().map(|s| {
-            let worker = s.worker.map(|n| self.workers[n].0.id.as_str());
-            listed(s, worker, ROOM)
+    pub(crate) fn list(&self) -> JsonResponse {
+        let machines = self.instances.iter().map(|i| {
+            let worker = i.worker.map(|n| self.workers[n].0.id.as_str());
+            instance_json(i, worker, WORKER_ROOM)
         });
         let machines: Vec<Value> = machines.collect();
         (
@@ -76,40 +83,46 @@
         )
     }
 
-    /// Carries an order out; gives the instance that has to start another life.
-    pub(crate) fn order(&mut self, path: &str, order: &Value, fence: u64) -> (Told, Option<usize>) {
-        let refused = |reason: &str| ((StatusCode::CONFLICT, json!({ "reason": reason })), None);
+    /// Executes an order to an instance. Returns the response and, if the move or maintenance begins
+    /// now, the index of the instance, on which a new worker has to start afterwards.
+    pub(crate) fn order(
+        &mut self,
+        path: &str,
+        order: &Value,
+        fence: u64,
+    ) -> (JsonResponse, Option<usize>) {
+        let conflict = |reason: &str| ((StatusCode::CONFLICT, json!({ "reason": reason })), None);
         let name = order["machine"].as_str().unwrap_or_default();
-        let Some(place) = self.stock.iter().position(|s| s.name == name) else {
+        let Some(index) = self.instances.iter().position(|i| i.name == name) else {
             return ((StatusCode::BAD_REQUEST, json!({})), None);
         };
-        let stock = &mut self.stock[place];
-        if fence < stock.fence {
-            return refused("fence");
+        let instance = &mut self.instances[index];
+        if fence < instance.fence {
+            return conflict("fence");
         }
-        stock.fence = fence;
+        instance.fence = fence;
         let wave = order["wave"].as_u64();
         let done = match path {
-            "/v1/machine-move" => Some(stock.pool.as_str()) == order["pool"].as_str(),
-            _ => wave.is_some_and(|w| stock.maintained.contains(&w)),
+            "/v1/machine-move" => Some(instance.pool.as_str()) == order["pool"].as_str(),
+            _ => wave.is_some_and(|w| instance.maintained.contains(&w)),
         };
         if done {
             return ((StatusCode::OK, json!({})), None);
         }
-        if stock.state != "up" {
-            return refused("busy");
+        if instance.state != "up" {
+            return conflict("busy");
         }
         match wave {
             Some(wave) => {
-                stock.maintained.push(wave);
-                stock.state = "upkeep";
+                instance.maintained.push(wave);
+                instance.state = "upkeep";
             }
             None => {
-                stock.pool = order["pool"].as_str().unwrap_or_default().to_owned();
-                stock.state = "moving";
+                instance.pool = order["pool"].as_str().unwrap_or_default().to_owned();
+                instance.state = "moving";
             }
         }
-        self.end_life(place);
-        ((StatusCode::OK, json!({})), Some(place))
+        self.kill_worker(index);
+        ((StatusCode::OK, json!({})), Some(index))
     }
 }
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::PolicyService;
+use cactuswheel_adapter::PolicyClient;
 use cactuswheel_cell::{Batch, Output};
 use cactuswheel_model::{Map, Time};
 use cactuswheel_relay::{
@@ -97,7 +97,7 @@
     /// Start orders through relays refer to the job's spec by its digest.
     omit_specs: bool,
     /// `None` if the settings name no policy service.
-    policy: Option<Arc<PolicyService>>,
+    policy: Option<Arc<PolicyClient>>,
     /// Limits the calls to the policy service in flight.
     advice_slots: Arc<Semaphore>,
     tasks: TaskTracker,
@@ -109,7 +109,7 @@
         let policy = shared
             .settings
             .policy
-            .map(|a| Arc::new(PolicyService::new(a)));
+            .map(|a| Arc::new(PolicyClient::new(a)));
         let sink = LocalOwner {
             shared: shared.clone(),
             events: events.clone(),
@@ -346,7 +346,7 @@
                 log::warn!(step:% = step, workers = workers.len() as u64, error:% = e; "no advice");
                 sleep(ADVICE_RETRY_PAUSE).await;
             }
-            let good = answer.ok().map(|a| a.good);
+            let good = answer.ok().map(|a| a.permits);
             let _ = events.send(Event::PolicyAnswer(step, good)).await;
         });
     }
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cactuswheel_adapter::{AppendError, Keyed, ReadError};
+use cactuswheel_adapter::{AppendError, KeyedRecord, ReadError};
 use cactuswheel_capacity::LastOwner;
 use cactuswheel_cell::{RENEW_WITHOUT_STORE, decode, encode};
 use cactuswheel_model::Time;
@@ -178,7 +178,7 @@
             return;
         };
         record.released = true;
-        let records = [Keyed::new(RECORD_KEY, encode(&record))];
+        let records = [KeyedRecord::new(RECORD_KEY, encode(&record))];
         let done = shared
             .store
             .append(OWNER, None, Some(page.end), &records, STORE_TIMEOUT);
@@ -338,7 +338,7 @@
         if expiry < self.shared.expiry() {
             self.shared.set_expiry(expiry);
         }
-        let records = [Keyed::new(RECORD_KEY, encode(&record))];
+        let records = [KeyedRecord::new(RECORD_KEY, encode(&record))];
         let store = &self.shared.store;
         let sent = self.shared.clock.now();
         self.last_sent = sent;
@@ -399,7 +399,7 @@
 
     /// Decodes a record and accepts it.
     fn decode_record(&mut self, record: &bytes::Bytes) {
-        let value = Keyed::read(record).and_then(|r| r.value);
+        let value = KeyedRecord::parse(record).and_then(|r| r.value);
         match value.map(|v| decode::<Ownership>(&v)) {
             Some(Ok(record)) => self.accept_record(record),
             other => log::error!(record:? = other; "cannot decode the ownership record"),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::{Instances, Keyed, Partition, STATUS_TOPIC, wave_status};
+use cactuswheel_adapter::{InstanceClient, KeyedRecord, Partition, STATUS_TOPIC, wave_status};
 use cactuswheel_capacity::{
     Action, History, LastOwner, OrderRecord, Planner, Reservation, Snapshot, Timings, reservations,
 };
@@ -115,7 +115,7 @@
         last: Option<LastOwner>,
     ) -> Option<Self> {
         let addr = shared.settings.instances?;
-        let service = Arc::new(Instances::new(addr));
+        let service = Arc::new(InstanceClient::new(addr));
         tokio::spawn(list_instances(
             shared.clone(),
             service.clone(),
@@ -262,17 +262,17 @@
             Action::Reopen(worker) => cell.reopen(&worker),
             Action::RecordWaveStart { wave } => {
                 let at = encode(&self.shared.clock.wall());
-                self.waves.write(Keyed::new(wave.to_string(), at));
+                self.waves.write(KeyedRecord::new(wave.to_string(), at));
             }
             Action::RecordMaintained { wave, instance } => {
                 log::info!(wave = wave, instance:% = instance; "instance maintained");
                 let key = format!("{wave}/{instance}");
-                self.maintained.write(Keyed::new(key, vec![1]));
+                self.maintained.write(KeyedRecord::new(key, vec![1]));
             }
             Action::ReportStatus { wave, complete } => {
                 log::info!(wave = wave, complete = complete; "publishing wave status");
                 let (key, value) = wave_status(wave, complete);
-                self.status.write(Keyed::new(key, value));
+                self.status.write(KeyedRecord::new(key, value));
             }
         }
     }
@@ -286,7 +286,7 @@
 /// together in the next one.
 async fn issue_orders(
     shared: Arc<Shared>,
-    service: Arc<Instances>,
+    service: Arc<InstanceClient>,
     events: mpsc::Sender<Event>,
     mut queue: mpsc::UnboundedReceiver<Vec<QueuedOrder>>,
 ) {
@@ -298,9 +298,9 @@
         let records = orders.iter().map(|g| {
             let wave = wave_of(&g.order);
             let record = OrderRecord { life, at, wave };
-            Keyed::new(instance_of(&g.order).as_str(), encode(&record))
+            KeyedRecord::new(instance_of(&g.order).as_str(), encode(&record))
         });
-        let records: Vec<Keyed> = records.collect();
+        let records: Vec<KeyedRecord> = records.collect();
         let recorded = shared.orders.write(&shared.store, &records).await;
         if let Err(e) = &recorded {
             log::info!(error:% = e; "failed to record instance orders; not issuing them");
@@ -333,7 +333,7 @@
 /// Issues an order, unless it was not recorded or this node may no longer own the cell.
 async fn issue(
     shared: &Shared,
-    service: &Instances,
+    service: &InstanceClient,
     events: &mpsc::Sender<Event>,
     item: &QueuedOrder,
     recorded: bool,
@@ -346,7 +346,11 @@
 }
 
 /// Lists instances periodically, until the owner on this node is gone.
-async fn list_instances(shared: Arc<Shared>, service: Arc<Instances>, events: mpsc::Sender<Event>) {
+async fn list_instances(
+    shared: Arc<Shared>,
+    service: Arc<InstanceClient>,
+    events: mpsc::Sender<Event>,
+) {
     let mut failing = false;
     let mut previous: Option<Vec<Instance>> = None;
     while !events.is_closed() {
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use cactuswheel_adapter::{AppendError, Appended, Keyed, Producer};
+use cactuswheel_adapter::{AppendError, Appended, KeyedRecord, Producer};
 use cactuswheel_cell::Batch;
 use cactuswheel_work::JobId;
 use tokio::sync::mpsc;
@@ -60,7 +60,7 @@
             .filter(|(_, record)| record.is_none())
             .map(|(id, _)| *id)
             .collect();
-        let keyed = |key: String, value: Option<Vec<u8>>| Keyed {
+        let keyed = |key: String, value: Option<Vec<u8>>| KeyedRecord {
             key,
             value: value.map(Into::into),
         };
@@ -68,7 +68,7 @@
         let submissions = submissions.map(|(id, v)| keyed(IntakeKey::Submitted(id).to_string(), v));
         let states = batch.records.into_iter();
         let states = states.map(|(id, v)| keyed(id.to_string(), v));
-        let records: Vec<Keyed> = submissions.chain(states).collect();
+        let records: Vec<KeyedRecord> = submissions.chain(states).collect();
         // Failed sends mean that the owner is gone and needs no events.
         if let Err(Superseded) = self.write(&records).await {
             let _ = self.events.send(Event::Deposed).await;
@@ -84,7 +84,7 @@
     /// Appends records until that succeeds, a newer owner is detected or the owner is gone. Retries
     /// use the same epoch and sequence number, so that the store applies the append only once,
     /// whatever the outcome of earlier attempts.
-    async fn write(&self, records: &[Keyed]) -> Result<(), Superseded> {
+    async fn write(&self, records: &[KeyedRecord]) -> Result<(), Superseded> {
         let mut failing = false;
         while !self.events.is_closed() {
             let producer = Producer {
@@ -133,7 +133,7 @@
     async fn try_write(
         &self,
         producer: &Producer,
-        records: &[Keyed],
+        records: &[KeyedRecord],
         failing: &mut bool,
     ) -> Option<Result<Appended, AppendError>> {
         let append = append(&self.shared, "journal", JOURNAL, producer, records, || {});
@@ -157,13 +157,15 @@
         for part in 0..parts {
             let here = jobs.iter().filter(|id| intake_part(**id, parts) == part);
             let keys = here.flat_map(|id| [IntakeKey::Submitted(*id), IntakeKey::Cancelled(*id)]);
-            let records: Vec<Keyed> = keys.map(|k| Keyed::dropped(k.to_string())).collect();
+            let records: Vec<KeyedRecord> = keys
+                .map(|k| KeyedRecord::tombstone(k.to_string()))
+                .collect();
             self.drop_keys(part, &records).await;
         }
     }
 
     /// Drops keys from an intake partition.
-    async fn drop_keys(&self, part: u32, records: &[Keyed]) {
+    async fn drop_keys(&self, part: u32, records: &[KeyedRecord]) {
         if records.is_empty() {
             return;
         }
--- a/crates/node/src/order_log.rs
+++ b/crates/node/src/order_log.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use cactuswheel_adapter::{AppendError, Item, Keyed, ReadError, Store};
+use cactuswheel_adapter::{AppendError, Item, KeyedRecord, ReadError, StoreClient};
 use futures::future::join_all;
 use tokio::time::sleep;
 
@@ -46,7 +46,11 @@
 
     /// Writes records to the first partition that accepts them. Returns the last error once every
     /// partition has failed or the time limit is over.
-    pub async fn write(&self, store: &Store, records: &[Keyed]) -> Result<(), AppendError> {
+    pub async fn write(
+        &self,
+        store: &StoreClient,
+        records: &[KeyedRecord],
+    ) -> Result<(), AppendError> {
         let started = Instant::now();
         let first = self.preferred.load(Ordering::Relaxed);
         let mut part = first;
@@ -69,7 +73,7 @@
 
     /// Reads the newest record of each instance in every partition; `None` if any partition cannot
     /// be read.
-    pub async fn read(&self, store: &Store) -> Option<Vec<Item>> {
+    pub async fn read(&self, store: &StoreClient) -> Option<Vec<Item>> {
         let parts = (0..self.parts).map(|part| read_part(store, part));
         let read = join_all(parts).await;
         let read: Option<Vec<Vec<Item>>> = read.into_iter().collect();
@@ -78,7 +82,7 @@
 }
 
 /// Reads a partition, with retries.
-async fn read_part(store: &Store, part: u32) -> Option<Vec<Item>> {
+async fn read_part(store: &StoreClient, part: u32) -> Option<Vec<Item>> {
     for _ in 0..READ_ATTEMPTS {
         match read_pages(store, part).await {
             Ok(items) => return Some(items),
@@ -90,7 +94,7 @@
 }
 
 /// Reads all pages of a partition.
-async fn read_pages(store: &Store, part: u32) -> Result<Vec<Item>, ReadError> {
+async fn read_pages(store: &StoreClient, part: u32) -> Result<Vec<Item>, ReadError> {
     let mut items: Vec<Item> = Vec::new();
     loop {
         let after = items.last().map(|i| i.key.clone());
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use cactuswheel_adapter::{Link, Orders};
+use cactuswheel_adapter::{HttpClient, WorkerClient};
 use cactuswheel_model::{Map, Time};
 use cactuswheel_rtt::RttEstimator;
 use cactuswheel_work::{HoldOrder, PaceOrder, StartOrder, StartOutcome, StopOrder, WorkerId};
@@ -81,7 +81,7 @@
 /// The connections to one worker.
 struct WorkerConn {
     addr: SocketAddr,
-    orders: Arc<Orders>,
+    orders: Arc<WorkerClient>,
     /// Limits the start orders in flight to this worker.
     slots: Arc<Semaphore>,
     /// Newest fencing token of any poll; start orders with an older one are not sent.
@@ -155,7 +155,7 @@
         let now = self.shared.clock.now();
         let fresh = || WorkerConn {
             addr,
-            orders: Arc::new(Orders::new(id.clone(), Link::new(addr))),
+            orders: Arc::new(WorkerClient::new(id.clone(), HttpClient::new(addr))),
             slots: Arc::new(Semaphore::new(MAX_PER_WORKER)),
             fence: Arc::new(AtomicU64::new(0)),
             poll: None,
@@ -181,7 +181,7 @@
         }
         let orders = conn.orders.clone();
         let task = tokio::spawn(async move {
-            let answer = orders.hold(&order, limit).await;
+            let answer = orders.poll_runs(&order, limit).await;
             sink.deliver(Report::Polled(worker, number, answer)).await;
         });
         conn.poll = Some(task.abort_handle());
@@ -258,7 +258,11 @@
 }
 
 /// Sends a start order, and updates the round-trip time estimate.
-async fn send_start(orders: &Orders, order: &StartOrder, start_rtt: &RttEstimator) -> StartOutcome {
+async fn send_start(
+    orders: &WorkerClient,
+    order: &StartOrder,
+    start_rtt: &RttEstimator,
+) -> StartOutcome {
     let sent = Instant::now();
     let outcome = orders.start(order, start_rtt.limit()).await;
     match outcome {
--- a/crates/node/src/record_writer.rs
+++ b/crates/node/src/record_writer.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_adapter::{Keyed, Partition};
+use cactuswheel_adapter::{KeyedRecord, Partition};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct RecordWriter {
     /// Unbounded, but there are only one or two records for each instance and each wave.
-    queue: mpsc::UnboundedSender<Keyed>,
+    queue: mpsc::UnboundedSender<KeyedRecord>,
 }
 
 impl RecordWriter {
@@ -41,7 +41,7 @@
     }
 
     /// Queues a record.
-    pub(crate) fn write(&self, record: Keyed) {
+    pub(crate) fn write(&self, record: KeyedRecord) {
         if self.queue.send(record).is_err() {
             log::warn!("record dropped: this node no longer runs the cell");
         }
@@ -53,7 +53,7 @@
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
     partition: Partition,
-    mut queue: mpsc::UnboundedReceiver<Keyed>,
+    mut queue: mpsc::UnboundedReceiver<KeyedRecord>,
 ) {
     while let Some(first) = queue.recv().await {
         let mut records = vec![first];
