--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -173,7 +173,7 @@
 
     async fn route(&self, request: Request<Incoming>) -> Result<Answer, Refusal> {
         let Some(config) = self.shared.config.load_full() else {
-            return Err(Refusal::new(Code::NotReady, "configuration not loaded yet"));
+            return Err(Refusal::new(Code::NotReady, "no configuration yet"));
         };
         let path = request.uri().path().to_owned();
         let host = host_name(&request);
@@ -191,19 +191,13 @@
             return self.pending(&request, &target).await;
         }
         let Ok(id) = rest.parse::<JobId>() else {
-            return Err(Refusal::new(
-                Code::BadRequest,
-                "the path does not contain a valid job id",
-            ));
+            return Err(Refusal::new(Code::BadRequest, "the path names no job id"));
         };
         match *request.method() {
             Method::POST => self.submit(request, &config, &target, id).await,
             Method::GET => self.state(&target, id).await,
             Method::DELETE => self.cancel(&target, id).await,
-            _ => Err(Refusal::new(
-                Code::BadRequest,
-                "method must be POST, GET or DELETE",
-            )),
+            _ => Err(Refusal::new(Code::BadRequest, "POST, GET or DELETE")),
         }
     }
 
@@ -278,10 +272,7 @@
         self.shared.specs().insert(&sub.spec);
         let record = encode(&sub);
         if record.len() > MAX_RECORD {
-            return Err(Refusal::new(
-                Code::BodyTooLarge,
-                "the encoded job is too large",
-            ));
+            return Err(Refusal::new(Code::BodyTooLarge, "the job's record"));
         }
         // The key may have been revoked while the body was being received.
         if target.team.is_some() {
@@ -301,14 +292,11 @@
         match error {
             NotStored::Refused => Refusal::new(Code::StoreAway, ""),
             NotStored::NoOwner(excess) => {
-                let detail = format!(
-                    "no owner has accepted jobs for {} ms too long",
-                    excess.as_millis()
-                );
+                let detail = format!("nobody takes jobs, {} ms too long", excess.as_millis());
                 Refusal::new(Code::NoScheduler, detail).with_retry_after(excess)
             }
             NotStored::Overloaded(excess) => {
-                let detail = format!("the job would start {} ms too late", excess.as_millis());
+                let detail = format!("it would begin {} ms too late", excess.as_millis());
                 Refusal::new(Code::QueueFull, detail).with_retry_after(excess)
             }
             NotStored::Doubt => Refusal::new(Code::StoreDoubt, ""),
@@ -357,10 +345,7 @@
         target: &Target<'_>,
     ) -> Result<Answer, Refusal> {
         if *request.method() != Method::GET {
-            return Err(Refusal::new(
-                Code::BadRequest,
-                "the path does not contain a job id",
-            ));
+            return Err(Refusal::new(Code::BadRequest, "a job id is missing"));
         }
         match ask::pending(&self.shared, &target.queue.name, owner_timeout(target)).await {
             Some(pending) => Ok(ok_json(pending_body(pending))),
@@ -411,7 +396,7 @@
         Ok(Err(e)) => Err(Refusal::new(Code::BadRequest, e.to_string())),
         Err(_) => Err(Refusal::new(
             Code::BadRequest,
-            "timed out while receiving the body",
+            "the body did not come in time",
         )),
     }
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -51,10 +51,7 @@
 
 async fn job(shared: &Shared, id: &str) -> Reply {
     let Ok(id) = id.parse::<JobId>() else {
-        return text(
-            StatusCode::BAD_REQUEST,
-            "a job id is 16 lower-case hexadecimal digits",
-        );
+        return text(StatusCode::BAD_REQUEST, "16 lower-case hexadecimal digits");
     };
     let Some(own) = shared.local_owner.load_full() else {
         return text(
@@ -64,7 +61,7 @@
     };
     match own.story(id).await {
         Some(story) => json(StatusCode::OK, &story),
-        None => text(StatusCode::NOT_FOUND, "job not found"),
+        None => text(StatusCode::NOT_FOUND, "no such job"),
     }
 }
 
