--- a/crates/node/src/appending.rs
+++ b/crates/node/src/appending.rs
@@ -58,9 +58,9 @@
         if in_flight.is_empty() {
             in_flight.push(attempt());
         }
-        let Ok(next) = timeout(shared.append_rtt.limit(), in_flight.next()).await else {
+        let Ok(next) = timeout(shared.append_rtt.timeout(), in_flight.next()).await else {
             shared.metrics.append_failed(topic);
-            shared.append_rtt.overdue();
+            shared.append_rtt.record_timeout();
             if in_flight.len() < MAX_IN_FLIGHT {
                 shared.store.suspect();
                 in_flight.push(attempt());
@@ -72,7 +72,7 @@
         };
         match outcome {
             Ok(done) => {
-                shared.append_rtt.answered(took);
+                shared.append_rtt.record_answer(took);
                 return Ok(done);
             }
             Err(AppendError::Refused(status)) => {
--- a/crates/node/src/ask.rs
+++ b/crates/node/src/ask.rs
@@ -88,7 +88,7 @@
 /// Does not wait for a connection to the owner: if there is none, the front end stores the job in
 /// the intake itself.
 pub(crate) async fn hand_in(shared: &Arc<Shared>, record: Bytes, limit: Duration) -> HandInAnswer {
-    let limit = limit.min(shared.accept_rtt.limit());
+    let limit = limit.min(shared.accept_rtt.timeout());
     let origin = shared.settings.listen.peers;
     if let Some(own) = shared.local_owner.load_full() {
         let answer = timeout(limit, own.hand_in(record, origin, limit)).await;
@@ -101,9 +101,9 @@
     let answer = link.hand_in(record, origin, limit).await;
     let took = shared.clock.now().since(sent);
     match answer {
-        Some(_) => shared.accept_rtt.answered(took),
+        Some(_) => shared.accept_rtt.record_answer(took),
         None if took < limit => drop_link(shared),
-        None => shared.accept_rtt.overdue(),
+        None => shared.accept_rtt.record_timeout(),
     }
     answer.unwrap_or(HandInAnswer::Unknown)
 }
--- a/crates/node/src/relay_request.rs
+++ b/crates/node/src/relay_request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cactuswheel_model::{Map, Time};
-use cactuswheel_relay::{SeenLook, SpecCache, SpecDigest};
+use cactuswheel_relay::{PollDelta, SpecCache, SpecDigest};
 use cactuswheel_work::{
     HoldOrder, JobId, Look, LookError, NodeName, PaceOrder, PlainOutcome, StartOrder, StartOutcome,
     StopOrder, TaskId, WorkerId,
@@ -38,7 +38,7 @@
     /// A look's outcome, by its number.
     Looked(WorkerId, u64, Result<Look, LookError>),
     /// The same as a relay tells it, without what was told before.
-    Seen(WorkerId, u64, SeenLook),
+    Seen(WorkerId, u64, PollDelta),
     /// A start order's outcome.
     Started(WorkerId, TaskId, u32, StartOutcome),
     /// A throttle order's outcome.
--- a/crates/node/src/relay_server.rs
+++ b/crates/node/src/relay_server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::{Map, Time};
-use cactuswheel_relay::{Capacity, Offer, Reply, SpecDigest, Told};
+use cactuswheel_relay::{Capacity, DeltaEncoder, Offer, Reply, SpecDigest};
 use rand::Rng;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -186,7 +186,7 @@
 ) {
     let limit = TIMEOUT + shared.settings.link.queue_time();
     let mut link = None;
-    let mut known = Told::default();
+    let mut known = DeltaEncoder::default();
     while let Some(first) = told.recv().await {
         let mut size = first.size();
         let mut reports = vec![fold(&shared, &mut known, first)];
@@ -224,10 +224,10 @@
 }
 
 /// Leaves out of a look what the owner was told before.
-fn fold(shared: &Shared, known: &mut Told, report: Report) -> Report {
+fn fold(shared: &Shared, known: &mut DeltaEncoder, report: Report) -> Report {
     match report {
         Report::Looked(worker, number, Ok(look)) => {
-            let seen = known.fold(shared.clock.now(), &worker, number, look);
+            let seen = known.encode(shared.clock.now(), &worker, number, look);
             Report::Seen(worker, number, seen)
         }
         other => other,
--- a/crates/relay/src/capacity.rs
+++ b/crates/relay/src/capacity.rs
@@ -26,7 +26,7 @@
 impl Capacity {
     /// Of a node with a link of so many bytes a second and so many cores; at least one worker.
     pub fn new(link: f64, cores: f64) -> Self {
-        let most = Self::by_link(link).0 as f64;
+        let most = Self::for_link(link).0 as f64;
         Self(most.min(cores * PER_CORE).max(1.0) as u32)
     }
 
@@ -34,13 +34,13 @@
     ///
     /// Failure: a wide link lets an owner with half a core send to a thousand workers by itself;
     /// its processor is used up, and jobs wait for a second while dozens of nodes idle.
-    pub fn of_owner(link: f64, cores: f64) -> Self {
-        let most = Self::by_link(link).0 as f64;
+    pub fn for_owner(link: f64, cores: f64) -> Self {
+        let most = Self::for_link(link).0 as f64;
         Self(most.min(cores * OWNED_PER_CORE).max(1.0) as u32)
     }
 
     /// As far as the link goes; at least one worker.
-    pub fn by_link(link: f64) -> Self {
+    pub fn for_link(link: f64) -> Self {
         Self((link * LINK_SHARE / WORKER_BYTES).clamp(1.0, u32::MAX as f64) as u32)
     }
 
--- a/crates/relay/src/pending.rs
+++ b/crates/relay/src/pending.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Pending {
     /// A look, by its number.
-    Look(u64),
+    Poll(u64),
     /// A start of this run of a task.
     Start(TaskId, u32),
     /// A throttle order.
@@ -17,7 +17,7 @@
     /// Whether an answer to `other` settles this one: a newer look is in place of an older one.
     pub(crate) fn is_settled_by(&self, other: &Self) -> bool {
         match (self, other) {
-            (Self::Look(mine), Self::Look(theirs)) => mine <= theirs,
+            (Self::Poll(mine), Self::Poll(theirs)) => mine <= theirs,
             (mine, theirs) => mine == theirs,
         }
     }
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -33,7 +33,7 @@
 /// Each end of a run brings a look with all that runs on its worker. Told whole, looks fill the
 /// owner's link as the orders did before there were relays.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenLook {
+pub struct PollDelta {
     /// Number of the look whose rows are referred to; 0 if none are.
     pub base: u64,
     /// The worker's own steady clock, in milliseconds.
@@ -48,7 +48,7 @@
 
 /// What a relay has told its owner of each worker.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct DeltaEncoder {
     workers: Map<WorkerId, Page>,
 }
 
@@ -59,14 +59,14 @@
     rows: Vec<(Running, Time)>,
 }
 
-impl Told {
+impl DeltaEncoder {
     /// Nothing is sure to have arrived: the next looks are told whole.
     pub fn clear(&mut self) {
         self.workers.clear();
     }
 
     /// The look of this number as it is told now.
-    pub fn fold(&mut self, now: Time, worker: &WorkerId, number: u64, look: Look) -> SeenLook {
+    pub fn encode(&mut self, now: Time, worker: &WorkerId, number: u64, look: Look) -> PollDelta {
         let before = self.workers.remove(worker);
         let base = before.as_ref().map_or(0, |page| page.look);
         let before = before.map(|page| page.rows).unwrap_or_default();
@@ -96,7 +96,7 @@
         // a worker that answers for lost; its runs are given up and done again. Rows are told
         // anew before the owner's retries are far apart, so that one of them is readable.
         let refers = rows.iter().any(|row| matches!(row, Row::Same(_)));
-        SeenLook {
+        PollDelta {
             base: if refers { base } else { 0 },
             clock: look.clock,
             born: look.born,
@@ -116,18 +116,18 @@
 
 /// What an owner was told of each worker, and by which relay.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct DeltaDecoder {
     workers: Map<WorkerId, (NodeName, u64, Vec<Running>)>,
 }
 
-impl Known {
+impl DeltaDecoder {
     /// The whole look; `None` if it refers to one that did not arrive.
-    pub fn unfold(
+    pub fn decode(
         &mut self,
         node: &NodeName,
         worker: &WorkerId,
         number: u64,
-        seen: SeenLook,
+        seen: PollDelta,
     ) -> Option<Look> {
         let before = self.workers.remove(worker);
         let before = before.filter(|(by, look, _)| by == node && *look == seen.base);
--- a/crates/rtt/src/lib.rs
+++ b/crates/rtt/src/lib.rs
@@ -50,7 +50,7 @@
     }
 
     /// Time to wait for the next answer.
-    pub fn limit(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         let (least, most) = self.bounds;
         let mean = self.mean.load(Ordering::Relaxed);
         let deviation = self.deviation.load(Ordering::Relaxed);
@@ -60,7 +60,7 @@
     }
 
     /// An answer came after `took`, counted from its own call.
-    pub fn answered(&self, took: Duration) {
+    pub fn record_answer(&self, took: Duration) {
         let took = took
             .as_micros()
             .try_into()
@@ -83,7 +83,7 @@
     }
 
     /// The limit passed without an answer: the next one is twice as long.
-    pub fn overdue(&self) {
+    pub fn record_timeout(&self) {
         let doubled = self.doubled.load(Ordering::Relaxed);
         self.doubled
             .store((doubled + 1).min(MAX_DOUBLED), Ordering::Relaxed);
