--- a/crates/cell/src/ends.rs
+++ b/crates/cell/src/ends.rs
@@ -1,7 +1,7 @@
 //! Ends of runs, as workers list them.
 
 use cactuswheel_model::Time;
-use cactuswheel_work::{End, How, JobState, Step, TaskId, WorkerId};
+use cactuswheel_work::{End, EndReason, JobState, Step, TaskId, WorkerId};
 
 use crate::attempt::{Attempt, Phase};
 use crate::cell::Cell;
@@ -11,7 +11,7 @@
     /// A worker lists an end.
     pub(crate) fn take_end(&mut self, id: &WorkerId, end: &End) {
         let (task, run) = (end.task, end.run);
-        if end.how == How::Done && self.is_redone(task, run) {
+        if end.how == EndReason::Done && self.is_redone(task, run) {
             self.bar(id, end);
         }
         let attempt = self.attempt_mut(task, run, id);
@@ -35,7 +35,10 @@
             }
         }
         let how = end.how;
-        if open && how != How::Done && !(how == How::Stopped && phase == Phase::Stopping) {
+        if open
+            && how != EndReason::Done
+            && !(how == EndReason::Stopped && phase == Phase::Stopping)
+        {
             log::info!(
                 task:% = task, run = run, worker:% = id, how:? = how, number = end.number;
                 "run ended"
@@ -43,12 +46,12 @@
         }
         self.release(task, run, id);
         match how {
-            How::Done => {
+            EndReason::Done => {
                 self.learn_run(task, step, started);
                 self.task_done(id, task, step.gang);
             }
-            How::Failed => self.task_failed(id, task, run, step),
-            How::Stopped | How::Expired | How::Broken | How::Alone => {}
+            EndReason::Failed => self.task_failed(id, task, run, step),
+            EndReason::Stopped | EndReason::Expired | EndReason::Broken | EndReason::Alone => {}
         }
     }
 
@@ -93,7 +96,7 @@
             return;
         }
         match end.how {
-            How::Done => {
+            EndReason::Done => {
                 log::info!(task:% = task, run = run, worker:% = id; "run given up was done");
                 let others: Vec<_> = state
                     .attempts
@@ -105,8 +108,8 @@
                     self.stop(task, run, &worker);
                 }
             }
-            How::Failed => self.task_failed(id, task, run, &step),
-            How::Stopped | How::Expired | How::Broken | How::Alone => {}
+            EndReason::Failed => self.task_failed(id, task, run, &step),
+            EndReason::Stopped | EndReason::Expired | EndReason::Broken | EndReason::Alone => {}
         }
     }
 
--- a/crates/cell/src/looks.rs
+++ b/crates/cell/src/looks.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use cactuswheel_model::Time;
-use cactuswheel_work::{HoldOrder, How, Look, LookError, StopOrder, TaskId, WorkerId};
+use cactuswheel_work::{
+    EndReason, PollError, PollOrder, StopOrder, TaskId, WorkerId, WorkerStatus,
+};
 
 use crate::attempt::Phase;
 use crate::cell::{Cell, RETRY_LOOK};
@@ -74,7 +76,7 @@
             // late, and without renewals sound workers lose all that they run.
             let late = full && now.since(worker.alive) < RENEW_UNHEARD;
             let heard = worker.missed == 0 || late;
-            let order = HoldOrder {
+            let order = PollOrder {
                 expiry: match renewing && heard && !worker.is_spent() {
                     true => worker.renew(lease, now),
                     false => None,
@@ -97,7 +99,13 @@
     }
 
     /// A worker answered a look, or did not.
-    pub fn looked(&mut self, now: Time, id: &WorkerId, look: u64, answer: Result<Look, LookError>) {
+    pub fn looked(
+        &mut self,
+        now: Time,
+        id: &WorkerId,
+        look: u64,
+        answer: Result<WorkerStatus, PollError>,
+    ) {
         self.now = now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -114,7 +122,7 @@
         }
     }
 
-    fn miss_look(&mut self, id: &WorkerId, error: &LookError) {
+    fn miss_look(&mut self, id: &WorkerId, error: &PollError) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -132,20 +140,20 @@
         };
         worker.looking = Looking::Due(now.after(pause.min(MAX_RETRY)));
         match error {
-            LookError::Fence => self.out.push(Output::Deposed {
+            PollError::Fence => self.out.push(Output::Deposed {
                 task: None,
                 worker: id.clone(),
             }),
-            LookError::OtherLife => {
+            PollError::OtherLife => {
                 worker.entry = None;
                 let runs = worker.held.iter().map(|(t, h)| (*t, h.run)).collect();
                 self.worker_ended(id, runs, &[], "another life at its address");
             }
-            LookError::Refused(_) | LookError::NotSent | LookError::Unknown(_) => {}
+            PollError::Refused(_) | PollError::NotSent | PollError::Unknown(_) => {}
         }
     }
 
-    fn take_look(&mut self, id: &WorkerId, sent: Time, look: Look) {
+    fn take_look(&mut self, id: &WorkerId, sent: Time, look: WorkerStatus) {
         let (now, lease) = (self.now, self.bounds.lease);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -175,7 +183,7 @@
         });
         let fence = worker.settle_fence();
         let seen = worker.seen;
-        let lapsed = look.ended.iter().filter(|e| e.how == How::Expired);
+        let lapsed = look.ended.iter().filter(|e| e.how == EndReason::Expired);
         worker.lapsed = lapsed.map(|e| e.number).max().unwrap_or_default();
         for end in look.ended.iter().filter(|e| e.number > seen) {
             self.take_end(id, end);
@@ -200,7 +208,7 @@
     }
 
     /// Runs that should be there and are not.
-    fn settle_absent(&mut self, id: &WorkerId, sent: Time, fence: u64, look: &Look) {
+    fn settle_absent(&mut self, id: &WorkerId, sent: Time, fence: u64, look: &WorkerStatus) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
--- a/crates/cell/src/output.rs
+++ b/crates/cell/src/output.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cactuswheel_work::{
-    HoldOrder, JobId, PaceOrder, StartOrder, StepId, StopOrder, TaskId, WorkerId,
+    JobId, PaceOrder, PollOrder, StartOrder, StepId, StopOrder, TaskId, WorkerId,
 };
 
 use crate::Batch;
@@ -28,7 +28,7 @@
         /// Number to answer with.
         look: u64,
         /// The order.
-        order: HoldOrder,
+        order: PollOrder,
     },
     /// Start a run. Answer: [`crate::Cell::started`].
     Start {
--- a/crates/cell/src/pacing.rs
+++ b/crates/cell/src/pacing.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::Time;
-use cactuswheel_work::{PaceOrder, PlainOutcome, TaskId, WorkerId};
+use cactuswheel_work::{OrderOutcome, PaceOrder, TaskId, WorkerId};
 
 use crate::attempt::Phase;
 use crate::cell::Cell;
@@ -115,15 +115,15 @@
     ///
     /// One without an answer may be carried out after a newer one; a newer fencing token shuts
     /// it out, and the pace is told again.
-    pub fn paced(&mut self, now: Time, id: &WorkerId, order: &PaceOrder, outcome: PlainOutcome) {
+    pub fn paced(&mut self, now: Time, id: &WorkerId, order: &PaceOrder, outcome: OrderOutcome) {
         self.now = now;
-        if outcome == PlainOutcome::Done {
+        if outcome == OrderOutcome::Done {
             return;
         }
         if let Some(attempt) = self.attempt_mut(order.task, order.run, id) {
             attempt.pace = None;
         }
-        if outcome == PlainOutcome::Unknown {
+        if outcome == OrderOutcome::Unknown {
             self.doubt(id, "throttle order without an answer");
         }
     }
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -11,7 +11,7 @@
     Capacity, DeltaDecoder, LostOrder, Offer, Pending, Relays, Reply, Route, Site, SpecOrigins,
 };
 use cactuswheel_work::{
-    JobId, LookError, NodeName, PlainOutcome, StartOutcome, StepId, WorkerEntry, WorkerId,
+    JobId, NodeName, OrderOutcome, PollError, StartOutcome, StepId, WorkerEntry, WorkerId,
 };
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::sleep;
@@ -371,7 +371,7 @@
     };
     let look = known.decode(node, &worker, number, seen);
     let look =
-        look.ok_or_else(|| LookError::Unknown("it refers to one that did not arrive".into()));
+        look.ok_or_else(|| PollError::Unknown("it refers to one that did not arrive".into()));
     Report::Looked(worker, number, look)
 }
 
@@ -379,10 +379,10 @@
     let LostOrder { worker, order } = lost;
     match order {
         Pending::Poll(look) => {
-            let error = LookError::Unknown("no word of its relay".into());
+            let error = PollError::Unknown("no word of its relay".into());
             Report::Looked(worker, look, Err(error))
         }
         Pending::Start(task, run) => Report::Started(worker, task, run, StartOutcome::Unknown),
-        Pending::Pace(order) => Report::Paced(worker, order, PlainOutcome::Unknown),
+        Pending::Pace(order) => Report::Paced(worker, order, OrderOutcome::Unknown),
     }
 }
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -8,7 +8,7 @@
 use cactuswheel_adapter::{Link, Orders};
 use cactuswheel_model::{Map, Time};
 use cactuswheel_rtt::RttEstimator;
-use cactuswheel_work::{HoldOrder, PaceOrder, StartOrder, StartOutcome, StopOrder, WorkerId};
+use cactuswheel_work::{PaceOrder, PollOrder, StartOrder, StartOutcome, StopOrder, WorkerId};
 use tokio::sync::Semaphore;
 use tokio::task::AbortHandle;
 use tokio_util::task::TaskTracker;
@@ -158,7 +158,7 @@
         conn
     }
 
-    fn look(&mut self, worker: WorkerId, addr: SocketAddr, look: u64, order: HoldOrder) {
+    fn look(&mut self, worker: WorkerId, addr: SocketAddr, look: u64, order: PollOrder) {
         let sink = self.sink.clone();
         let queued = self.shared.settings.link.queue_time();
         let limit = (self.answers.timeout() + queued).min(LOOK_TIMEOUT);
--- a/crates/node/src/relay_request.rs
+++ b/crates/node/src/relay_request.rs
@@ -6,8 +6,8 @@
 use cactuswheel_model::{Map, Time};
 use cactuswheel_relay::{PollDelta, SpecCache, SpecDigest};
 use cactuswheel_work::{
-    HoldOrder, JobId, Look, LookError, NodeName, PaceOrder, PlainOutcome, StartOrder, StartOutcome,
-    StopOrder, TaskId, WorkerId,
+    JobId, NodeName, OrderOutcome, PaceOrder, PollError, PollOrder, StartOrder, StartOutcome,
+    StopOrder, TaskId, WorkerId, WorkerStatus,
 };
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Order {
     /// Renew its lease and look at it, in place of any earlier look that is under way.
-    Look(u64, HoldOrder),
+    Look(u64, PollOrder),
     /// Start a run.
     Start(StartOrder),
     /// Stop a run.
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Report {
     /// A look's outcome, by its number.
-    Looked(WorkerId, u64, Result<Look, LookError>),
+    Looked(WorkerId, u64, Result<WorkerStatus, PollError>),
     /// The same as a relay tells it, without what was told before.
     Seen(WorkerId, u64, PollDelta),
     /// A start order's outcome.
     Started(WorkerId, TaskId, u32, StartOutcome),
     /// A throttle order's outcome.
-    Paced(WorkerId, PaceOrder, PlainOutcome),
+    Paced(WorkerId, PaceOrder, OrderOutcome),
 }
 
 /// Orders for one relay, sent together.
--- a/crates/relay/src/rows.rs
+++ b/crates/relay/src/rows.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::{Map, Time};
-use cactuswheel_work::{End, Look, NodeName, Running, WorkerId};
+use cactuswheel_work::{End, NodeName, Running, WorkerId, WorkerStatus};
 use serde::{Deserialize, Serialize};
 
 /// Time after which a row is told again though it changed little: runs that stand still are told
@@ -66,7 +66,13 @@
     }
 
     /// The look of this number as it is told now.
-    pub fn encode(&mut self, now: Time, worker: &WorkerId, number: u64, look: Look) -> PollDelta {
+    pub fn encode(
+        &mut self,
+        now: Time,
+        worker: &WorkerId,
+        number: u64,
+        look: WorkerStatus,
+    ) -> PollDelta {
         let before = self.workers.remove(worker);
         let base = before.as_ref().map_or(0, |page| page.look);
         let before = before.map(|page| page.rows).unwrap_or_default();
@@ -128,7 +134,7 @@
         worker: &WorkerId,
         number: u64,
         seen: PollDelta,
-    ) -> Option<Look> {
+    ) -> Option<WorkerStatus> {
         let before = self.workers.remove(worker);
         let before = before.filter(|(by, look, _)| by == node && *look == seen.base);
         let before = before.map(|(_, _, rows)| rows);
@@ -143,7 +149,7 @@
         let running: Vec<Running> = rows.collect::<Option<_>>()?;
         let page = (node.clone(), number, running.clone());
         self.workers.insert(worker.clone(), page);
-        Some(Look {
+        Some(WorkerStatus {
             clock: seen.clock,
             born: seen.born,
             running,
--- a/crates/work/src/end.rs
+++ b/crates/work/src/end.rs
@@ -6,7 +6,7 @@
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
+pub enum EndReason {
     /// Its work is done.
     Done,
     /// It failed, by its own fault or the worker's.
@@ -31,7 +31,7 @@
     /// Which run of the task.
     pub run: u32,
     /// How it ended.
-    pub how: How,
+    pub how: EndReason,
     /// Checkpoint to resume from; empty if there is none.
     pub checkpoint: String,
 }
--- a/crates/work/src/fleet_config.rs
+++ b/crates/work/src/fleet_config.rs
@@ -6,7 +6,7 @@
 
 /// Bounds on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BodyLimits {
+pub struct RequestLimits {
     /// Largest head of a request, in bytes.
     pub head: usize,
     /// Largest body of a request, in bytes.
@@ -27,7 +27,7 @@
     /// Team of each key.
     pub keys: Map<String, TeamName>,
     /// Bounds on requests.
-    pub limits: BodyLimits,
+    pub limits: RequestLimits,
 }
 
 impl FleetConfig {
--- a/crates/work/src/plain_outcome.rs
+++ b/crates/work/src/order_outcome.rs
@@ -4,7 +4,7 @@
 
 /// What became of any other order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PlainOutcome {
+pub enum OrderOutcome {
     /// Carried out.
     Done,
     /// Refused; nothing was done.
--- a/crates/work/src/hold_order.rs
+++ b/crates/work/src/poll_order.rs
@@ -6,7 +6,7 @@
 
 /// Renews the lease of everything on a worker and looks at it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HoldOrder {
+pub struct PollOrder {
     /// When the lease expires, on the worker's clock; `None` leaves it as it is.
     pub expiry: Option<u64>,
     /// Fencing token.
@@ -22,7 +22,7 @@
 
 /// Why a look shows nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum LookError {
+pub enum PollError {
     /// Another worker, or another life, is at this address.
     #[error("another worker is at this address")]
     OtherLife,
--- a/crates/work/src/look.rs
+++ b/crates/work/src/worker_status.rs
@@ -21,7 +21,7 @@
 
 /// Both lists of a worker and its clock, as of one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
+pub struct WorkerStatus {
     /// The worker's own steady clock, in milliseconds.
     pub clock: u64,
     /// Start of this life, in milliseconds since 1970.
