--- a/crates/node/src/appending.rs
+++ b/crates/node/src/appending.rs
@@ -58,7 +58,7 @@
         if in_flight.is_empty() {
             in_flight.push(attempt());
         }
-        let Ok(next) = timeout(shared.append_rtt.timeout(), in_flight.next()).await else {
+        let Ok(next) = timeout(shared.append_rtt.retry_timeout(), in_flight.next()).await else {
             shared.metrics.append_failed(topic);
             shared.append_rtt.record_timeout();
             if in_flight.len() < MAX_IN_FLIGHT {
--- a/crates/node/src/ask.rs
+++ b/crates/node/src/ask.rs
@@ -88,7 +88,7 @@
 /// Does not wait for a connection to the owner: if there is none, the front end stores the job in
 /// the intake itself.
 pub(crate) async fn hand_in(shared: &Arc<Shared>, record: Bytes, limit: Duration) -> HandInAnswer {
-    let limit = limit.min(shared.accept_rtt.timeout());
+    let limit = limit.min(shared.accept_rtt.retry_timeout());
     let origin = shared.settings.listen.peers;
     if let Some(own) = shared.local_owner.load_full() {
         let answer = timeout(limit, own.hand_in(record, origin, limit)).await;
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -244,7 +244,7 @@
     /// A relay takes no orders any more.
     pub(crate) fn lose_relay(&mut self, node: &NodeName, why: &str) -> Vec<Report> {
         self.clients.remove(node);
-        let lost = self.relays.remove(node, why);
+        let lost = self.relays.remove_relay(node, why);
         lost.into_iter().map(unknown).collect()
     }
 
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -314,7 +314,11 @@
         let store = &self.shared.store;
         let sent = self.shared.clock.now();
         self.sent = sent;
-        let limit = self.shared.append_rtt.timeout().clamp(MIN_TIMEOUT, TIMEOUT);
+        let limit = self
+            .shared
+            .append_rtt
+            .retry_timeout()
+            .clamp(MIN_TIMEOUT, TIMEOUT);
         let limit = limit + page_time(settings.link);
         let done = store.append(OWNER, None, Some(self.end), &records, limit);
         match done.await {
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -48,7 +48,7 @@
 
 /// Time without an answer after which an append counts as in doubt.
 fn doubt_timeout(shared: &Shared) -> Duration {
-    MAX_DOUBT_TIMEOUT.min(shared.append_rtt.timeout() * DOUBT_RTT_FACTOR)
+    MAX_DOUBT_TIMEOUT.min(shared.append_rtt.retry_timeout() * DOUBT_RTT_FACTOR)
 }
 
 /// Why a record is not known to be stored.
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -161,7 +161,7 @@
     fn look(&mut self, worker: WorkerId, addr: SocketAddr, look: u64, order: PollOrder) {
         let sink = self.sink.clone();
         let queued = self.shared.settings.link.queue_time();
-        let limit = (self.answers.timeout() + queued).min(LOOK_TIMEOUT);
+        let limit = (self.answers.retry_timeout() + queued).min(LOOK_TIMEOUT);
         let conn = self.conn(&worker, addr);
         conn.fence.fetch_max(order.fence, Ordering::AcqRel);
         if let Some(before) = conn.look.take() {
@@ -245,7 +245,7 @@
 /// Orders a start, and learns from how long its answer takes.
 async fn start_within(orders: &Orders, order: &StartOrder, answers: &RttEstimator) -> StartOutcome {
     let sent = Instant::now();
-    let outcome = orders.start(order, answers.timeout()).await;
+    let outcome = orders.start(order, answers.retry_timeout()).await;
     match outcome {
         StartOutcome::Started | StartOutcome::Refused(_) => answers.record_answer(sent.elapsed()),
         StartOutcome::Unknown => answers.record_timeout(),
--- a/crates/relay/src/relays.rs
+++ b/crates/relay/src/relays.rs
@@ -261,7 +261,7 @@
     }
 
     /// A relay is gone: what was on its way through it may be carried out, now or later.
-    pub fn remove(&mut self, node: &NodeName, why: &str) -> Vec<LostOrder> {
+    pub fn remove_relay(&mut self, node: &NodeName, why: &str) -> Vec<LostOrder> {
         let Some(relay) = self.relays.remove(node) else {
             return Vec::new();
         };
@@ -288,7 +288,7 @@
         let silent: Vec<NodeName> = silent.map(|(node, _)| node.clone()).collect();
         let mut lost = Vec::new();
         for node in silent {
-            lost.extend(self.remove(&node, "silent"));
+            lost.extend(self.remove_relay(&node, "silent"));
         }
         for relay in self.relays.values_mut() {
             for (worker, waiting) in &mut relay.pending {
--- a/crates/rtt/src/lib.rs
+++ b/crates/rtt/src/lib.rs
@@ -50,7 +50,7 @@
     }
 
     /// Time to wait for the next answer.
-    pub fn timeout(&self) -> Duration {
+    pub fn retry_timeout(&self) -> Duration {
         let (least, most) = self.bounds;
         let mean = self.mean.load(Ordering::Relaxed);
         let deviation = self.deviation.load(Ordering::Relaxed);
