--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,19 +1,21 @@
-//! Which node carries the owner's orders to which worker.
+//! Relays: nodes that send the owner's orders to workers.
 //!
-//! A pure machine for the owner of a cell. Starting a task and looking at a worker take some
-//! hundred bytes and a connection each; a single node on a narrow link can do so for a few dozen
-//! workers only. Other nodes offer to carry orders for it, each for as many workers as its link
-//! and processor allow, and the owner talks to each of them on one connection.
+//! Starting a task or polling a worker takes a few hundred bytes and a connection, so the owner of
+//! a cell on a slow link can do so for a few dozen workers only. Other nodes offer to relay orders,
+//! each for as many workers as its link and processor allow, and the owner uses one connection to
+//! each of them.
 //!
-//! It decides nothing about jobs and sends nothing: it has no clock, socket or task. An order is
-//! as safe through a relay as on the direct way: what has no answer is unknown, and fencing
-//! tokens shut out what comes late.
+//! This crate assigns workers to relays, tracks the orders in flight at relays, encodes poll
+//! results as deltas, and keeps track of job specs that nodes have cached. It makes no decisions
+//! about jobs and does no I/O; the caller passes in the time. An order through a relay is as safe
+//! as a direct one: without an answer, its outcome is unknown, and workers reject a late order by
+//! its fencing token.
 
 mod capacity;
 mod offer;
 mod pending;
+mod poll_delta;
 mod relays;
-mod rows;
 mod site;
 mod spec_cache;
 mod spec_digest;
@@ -22,8 +24,8 @@
 pub use capacity::Capacity;
 pub use offer::{Offer, Reply};
 pub use pending::Pending;
+pub use poll_delta::{DeltaDecoder, DeltaEncoder, PollDelta, Row};
 pub use relays::{LostOrder, Relays, Route};
-pub use rows::{DeltaDecoder, DeltaEncoder, PollDelta, Row};
 pub use site::Site;
 pub use spec_cache::SpecCache;
 pub use spec_digest::SpecDigest;
--- a/crates/relay/src/offer.rs
+++ b/crates/relay/src/offer.rs
@@ -1,4 +1,4 @@
-//! What nodes offer, and what they are told.
+//! Offers of nodes to relay orders, and the owner's replies.
 
 use std::net::SocketAddr;
 
@@ -8,34 +8,36 @@
 
 use crate::Capacity;
 
-/// A node offers to carry orders; repeated as a heartbeat while it is wanted.
+/// An offer of a node to relay orders. While the node is a relay, it repeats the offer as a
+/// heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The node.
+    /// The node that offers.
     pub node: NodeName,
-    /// Tells lives of one node apart.
+    /// Incarnation of the node's process; differs after a restart.
     pub life: u64,
-    /// Its data centre.
+    /// Data centre of the node.
     pub zone: ZoneName,
-    /// Where it takes orders.
+    /// Address at which the node accepts orders.
     pub addr: SocketAddr,
-    /// For how many workers.
+    /// How many workers the node can relay orders to.
     pub capacity: Capacity,
-    /// Its steady clock when it sent this.
+    /// Time on the node's monotonic clock when it sent the offer.
     pub clock: Time,
-    /// It stops before long and wants nothing new.
+    /// The node is about to stop and accepts no new orders.
     pub leaving: bool,
 }
 
-/// What becomes of an offer.
+/// The reply to an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The node carries orders from now on.
+    /// The node is a relay from now on, or still is one.
     Wanted,
-    /// There are enough others, or the owner needs none.
+    /// The owner has enough relays or needs none, or it does not accept the node for now because it
+    /// is about to stop or its previous incarnation is still a relay.
     Enough,
-    /// The owner does not know its workers yet.
+    /// The owner does not know the number of workers yet; the node should offer again soon.
     NotYet,
-    /// Whoever was asked does not own the cell, or not yet.
+    /// The node that received the offer does not own the cell, or not yet.
     NotOwner,
 }
--- a/crates/relay/src/pending.rs
+++ b/crates/relay/src/pending.rs
@@ -1,24 +1,25 @@
-//! Orders that were handed to a relay and have no answer yet.
+//! Orders in flight at a relay.
 
 use cactuswheel_work::{PaceOrder, TaskId};
 
-/// An order that was handed to a relay and has no answer yet.
+/// An order that was sent to a relay and is not answered yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Pending {
-    /// A look, by its number.
+    /// The poll with this number.
     Poll(u64),
-    /// A start of this run of a task.
+    /// The start order for this run of a task.
     Start(TaskId, u32),
     /// A throttle order.
     Pace(PaceOrder),
 }
 
 impl Pending {
-    /// Whether an answer to `other` settles this one: a newer look is in place of an older one.
+    /// Whether an answer to `other` also settles this order. A poll replaces every older poll of
+    /// the same worker, so the answer to a newer one settles the older ones.
     pub(crate) fn is_settled_by(&self, other: &Self) -> bool {
         match (self, other) {
-            (Self::Poll(mine), Self::Poll(theirs)) => mine <= theirs,
-            (mine, theirs) => mine == theirs,
+            (Self::Poll(own), Self::Poll(answered)) => own <= answered,
+            (own, answered) => own == answered,
         }
     }
 }
--- a/crates/relay/src/relays.rs
+++ b/crates/relay/src/relays.rs
@@ -1,4 +1,4 @@
-//! The relays of one owner.
+//! The relays of an owner.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -9,50 +9,51 @@
 
 use crate::{Capacity, Offer, Pending, Reply, Site};
 
-/// Time without a heartbeat after which a relay counts as lost: three of them, and the way.
-const SILENCE: Duration = Duration::from_millis(1_300);
+/// Time without a heartbeat after which a relay counts as lost: three heartbeat intervals and some
+/// time for transmission.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// Times the workers that the relays together have room for, so that the loss of some of them
-/// leaves enough.
-const ENOUGH: f64 = 1.5;
+/// Total capacity of the relays at which no more are accepted, as a multiple of the number of
+/// workers. The excess makes up for the loss of some relays.
+const CAPACITY_FACTOR: f64 = 1.5;
 
 /// How orders reach a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Route {
-    /// From the owner itself.
+    /// Sent by the owner itself.
     Direct,
-    /// Through this node.
+    /// Sent by this relay.
     Relay(NodeName),
 }
 
-/// What was on its way through a relay that is gone, or that has not answered in time: it may be
-/// carried out, now or later.
+/// An order that was in flight at a relay that is lost or did not answer in time. Its outcome is
+/// unknown: it may still be carried out, now or later.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LostOrder {
-    /// The worker.
+    /// The worker that the order is for.
     pub worker: WorkerId,
     /// The order.
     pub order: Pending,
 }
 
-/// The relays of one owner, and what is on its way through each.
+/// The relays of an owner, the workers assigned to each, and the orders in flight there.
 #[derive(Debug)]
 pub struct Relays {
-    /// Workers that the owner can do without relays.
-    own: Capacity,
-    /// Workers that orders go to; `None` until they are known.
+    /// How many workers the owner can send orders to without relays.
+    own_capacity: Capacity,
+    /// Number of workers in the cell; `None` until it is known.
     workers: Option<usize>,
     relays: Map<NodeName, Relay>,
-    /// The relay of each worker, and the worker's rack.
+    /// The relay that each worker is assigned to.
     ///
-    /// Invariant: it is one of `relays`.
-    chosen: Map<WorkerId, Chosen>,
-    /// Workers that the owner sends orders to itself.
+    /// Invariant: every assigned relay is in `relays`.
+    assignments: Map<WorkerId, Assignment>,
+    /// Workers that the owner sends orders to directly.
     direct: Set<WorkerId>,
 }
 
 #[derive(Debug)]
-struct Chosen {
+struct Assignment {
     node: NodeName,
     rack: Option<String>,
 }
@@ -60,26 +61,27 @@
 #[derive(Debug)]
 struct Relay {
     offer: Offer,
-    /// When its last heartbeat came.
-    heard: Time,
-    /// Workers that have it as their relay.
+    /// When its last heartbeat was received.
+    last_heartbeat: Time,
+    /// Number of workers assigned to it.
     assigned: usize,
-    /// The same by rack.
+    /// Number of workers assigned to it in each rack.
     racks: Map<String, usize>,
+    /// Orders in flight to each worker, and when their answers are overdue.
     pending: Map<WorkerId, Vec<(Pending, Time)>>,
 }
 
 impl Relay {
-    fn room(&self) -> usize {
-        let most = self.offer.capacity.workers();
-        most.saturating_sub(self.assigned)
+    fn free_capacity(&self) -> usize {
+        let max_workers = self.offer.capacity.workers();
+        max_workers.saturating_sub(self.assigned)
     }
 
-    fn takes_more(&self, now: Time) -> bool {
-        !self.offer.leaving && now.since(self.heard) < SILENCE
+    fn is_available(&self, now: Time) -> bool {
+        !self.offer.leaving && now.since(self.last_heartbeat) < HEARTBEAT_TIMEOUT
     }
 
-    /// Share of its capacity in use with one more worker.
+    /// Share of the capacity that is used after one more worker is assigned.
     fn load(&self) -> f64 {
         self.offer.capacity.load(self.assigned + 1)
     }
@@ -106,41 +108,42 @@
 }
 
 impl Relays {
-    /// Of an owner that itself carries orders to up to `own` workers.
-    pub fn new(own: Capacity) -> Self {
+    /// The relays of a new owner, which can send orders to `own_capacity` workers directly.
+    pub fn new(own_capacity: Capacity) -> Self {
         Self {
-            own,
+            own_capacity,
             workers: None,
             relays: Map::default(),
-            chosen: Map::default(),
+            assignments: Map::default(),
             direct: Set::default(),
         }
     }
 
-    /// Orders go to so many workers.
+    /// Sets the number of workers in the cell.
     pub fn set_worker_count(&mut self, workers: usize) {
         self.workers = Some(workers);
     }
 
-    /// Takes an offer, or a relay's heartbeat.
+    /// Handles the offer of a node to become a relay, or the heartbeat of a relay.
     pub fn handle_offer(&mut self, now: Time, offer: Offer) -> Reply {
         if let Some(relay) = self.relays.get_mut(&offer.node)
             && relay.offer.life == offer.life
         {
             relay.offer = offer;
-            relay.heard = now;
+            relay.last_heartbeat = now;
             return Reply::Wanted;
         }
-        // Failure: a new owner knows no workers yet, turns every offer away, and carries all orders
-        // itself for the seconds in which its callers have waited already.
+        // If a new owner replied `Enough` before it knows the number of workers, the nodes would
+        // wait for seconds before they offer again. Until then the owner would send all orders
+        // itself, while callers have already waited for the takeover.
         let Some(workers) = self.workers else {
             return Reply::NotYet;
         };
-        let needed = workers > self.own.workers();
-        let there = self.relays.values().map(|r| r.offer.capacity);
-        let there = there.sum::<Capacity>().workers() as f64;
-        let known = self.relays.contains_key(&offer.node);
-        if offer.leaving || known || !needed || there >= workers as f64 * ENOUGH {
+        let needed = workers > self.own_capacity.workers();
+        let offered = self.relays.values().map(|r| r.offer.capacity);
+        let offered = offered.sum::<Capacity>().workers() as f64;
+        let registered = self.relays.contains_key(&offer.node);
+        if offer.leaving || registered || !needed || offered >= workers as f64 * CAPACITY_FACTOR {
             return Reply::Enough;
         }
         log::info!(
@@ -149,7 +152,7 @@
             "relay taken"
         );
         let relay = Relay {
-            heard: now,
+            last_heartbeat: now,
             assigned: 0,
             racks: Map::default(),
             pending: Map::default(),
@@ -159,33 +162,34 @@
         Reply::Wanted
     }
 
-    /// Where a relay takes orders.
+    /// The address at which a relay accepts orders.
     pub fn addr(&self, node: &NodeName) -> Option<SocketAddr> {
         self.relays.get(node).map(|r| r.offer.addr)
     }
 
-    /// Number of relays.
+    /// The number of relays.
     pub fn count(&self) -> usize {
         self.relays.len()
     }
 
-    /// How the next order reaches a worker: through the relay that it has, else through one with
-    /// room, else by whoever is the least loaded for its capacity, the owner included.
+    /// Chooses the route for the next order to a worker: the relay that the worker is assigned to,
+    /// otherwise a relay with free capacity, otherwise the relay or owner with the lowest load
+    /// relative to its capacity.
     ///
-    /// A relay that has a worker of the same rack goes first, then one of the same data centre:
-    /// tasks of one job start in one rack where they can, and what the job runs goes to each of its
-    /// relays once.
+    /// Among relays with free capacity, those with a worker in the same rack are preferred, then
+    /// those in the same data centre. The tasks of a job start in one rack where possible, so fewer
+    /// relays need the job's spec, which is sent once to each relay.
     pub fn choose(&mut self, now: Time, worker: &WorkerId, site: Option<&Site>) -> Route {
-        if let Some(chosen) = self.chosen.get(worker) {
-            let node = &chosen.node;
-            if self.relays.get(node).is_some_and(|r| r.takes_more(now)) {
+        if let Some(assignment) = self.assignments.get(worker) {
+            let node = &assignment.node;
+            if self.relays.get(node).is_some_and(|r| r.is_available(now)) {
                 return Route::Relay(node.clone());
             }
             self.forget(worker);
         }
         let rack = site.and_then(|s| s.rack.as_ref());
-        let roomy = self.roomy(now, site);
-        let Some(node) = roomy.or_else(|| self.least_loaded(now, worker)) else {
+        let preferred = self.relay_with_capacity(now, site);
+        let Some(node) = preferred.or_else(|| self.least_loaded(now, worker)) else {
             self.direct.insert(worker.clone());
             return Route::Direct;
         };
@@ -193,79 +197,93 @@
             relay.assign(rack);
         }
         self.direct.remove(worker);
-        let chosen = Chosen {
+        let assignment = Assignment {
             node: node.clone(),
             rack: rack.cloned(),
         };
-        self.chosen.insert(worker.clone(), chosen);
+        self.assignments.insert(worker.clone(), assignment);
         Route::Relay(node)
     }
 
-    /// The best relay with room for one more worker.
-    fn roomy(&self, now: Time, site: Option<&Site>) -> Option<NodeName> {
-        let fit = self.relays.iter().filter(|(_, r)| r.takes_more(now));
-        let fit = fit.filter(|(_, r)| r.room() > 0);
-        let best = fit.max_by_key(|(name, r)| {
+    /// The preferred relay among those with free capacity for one more worker.
+    fn relay_with_capacity(&self, now: Time, site: Option<&Site>) -> Option<NodeName> {
+        let candidates = self.relays.iter().filter(|(_, r)| r.is_available(now));
+        let candidates = candidates.filter(|(_, r)| r.free_capacity() > 0);
+        let best = candidates.max_by_key(|(name, r)| {
             let same_rack = r.has_rack(site.and_then(|s| s.rack.as_ref()));
             let same_zone = site.is_some_and(|s| r.offer.zone == s.zone);
-            (same_rack, same_zone, r.room(), Reverse((*name).clone()))
+            (
+                same_rack,
+                same_zone,
+                r.free_capacity(),
+                Reverse((*name).clone()),
+            )
         });
         best.map(|(node, _)| node.clone())
     }
 
-    /// The relay that is the least loaded for its capacity; `None` if the owner is less loaded.
+    /// The relay with the lowest load relative to its capacity; `None` if no relay has a lower load
+    /// than the owner.
     ///
-    /// Failure: relays together have room for three workers in four, the owner takes all the
-    /// others itself, and their start orders fill its link while the relays' are idle.
+    /// Without this, if the relays together have capacity for three in four workers, the owner
+    /// would send orders to all the others directly, and the start orders would saturate its link
+    /// while the links of the relays are idle.
     fn least_loaded(&self, now: Time, worker: &WorkerId) -> Option<NodeName> {
         let others = self.direct.len() - usize::from(self.direct.contains(worker));
-        let own = self.own.load(others + 1);
-        let relays = self.relays.iter().filter(|(_, r)| r.takes_more(now));
+        let own_load = self.own_capacity.load(others + 1);
+        let relays = self.relays.iter().filter(|(_, r)| r.is_available(now));
         let least = relays.min_by(|(a, x), (b, y)| x.load().total_cmp(&y.load()).then(a.cmp(b)));
-        let (node, _) = least.filter(|(_, r)| r.load() < own)?;
+        let (node, _) = least.filter(|(_, r)| r.load() < own_load)?;
         Some(node.clone())
     }
 
-    /// A worker is gone, or has to have another relay.
+    /// Removes the assignment of a worker that is gone or needs another relay.
     pub fn forget(&mut self, worker: &WorkerId) {
         self.direct.remove(worker);
-        let Some(chosen) = self.chosen.remove(worker) else {
+        let Some(assignment) = self.assignments.remove(worker) else {
             return;
         };
-        if let Some(relay) = self.relays.get_mut(&chosen.node) {
-            relay.unassign(chosen.rack.as_ref());
+        if let Some(relay) = self.relays.get_mut(&assignment.node) {
+            relay.unassign(assignment.rack.as_ref());
         }
     }
 
-    /// An order was handed to a relay; `until` is when its answer is overdue.
-    pub fn record_sent(&mut self, node: &NodeName, worker: &WorkerId, order: Pending, until: Time) {
+    /// Records an order that was sent to a relay. Its answer is overdue at `deadline`.
+    pub fn record_sent(
+        &mut self,
+        node: &NodeName,
+        worker: &WorkerId,
+        order: Pending,
+        deadline: Time,
+    ) {
         if let Some(relay) = self.relays.get_mut(node) {
-            let waiting = relay.pending.entry(worker.clone()).or_default();
-            waiting.retain(|(before, _)| !before.is_settled_by(&order));
-            waiting.push((order, until));
+            let in_flight = relay.pending.entry(worker.clone()).or_default();
+            in_flight.retain(|(earlier, _)| !earlier.is_settled_by(&order));
+            in_flight.push((order, deadline));
         }
     }
 
-    /// A relay tells what became of an order.
+    /// Records that a relay has reported the outcome of an order.
     pub fn record_answer(&mut self, node: &NodeName, worker: &WorkerId, order: &Pending) {
         let Some(relay) = self.relays.get_mut(node) else {
             return;
         };
-        let Some(waiting) = relay.pending.get_mut(worker) else {
+        let Some(in_flight) = relay.pending.get_mut(worker) else {
             return;
         };
-        waiting.retain(|(before, _)| !before.is_settled_by(order));
-        if waiting.is_empty() {
+        in_flight.retain(|(earlier, _)| !earlier.is_settled_by(order));
+        if in_flight.is_empty() {
             relay.pending.remove(worker);
         }
     }
 
-    /// A relay is gone: what was on its way through it may be carried out, now or later.
+    /// Removes a relay that is lost and returns the orders in flight there.
     pub fn remove_relay(&mut self, node: &NodeName, why: &str) -> Vec<LostOrder> {
         let Some(relay) = self.relays.remove(node) else {
             return Vec::new();
         };
-        self.chosen.retain(|_, chosen| chosen.node != *node);
+        self.assignments
+            .retain(|_, assignment| assignment.node != *node);
         let lost = relay.pending.into_iter().flat_map(|(worker, orders)| {
             let orders = orders.into_iter();
             orders.map(move |(order, _)| LostOrder {
@@ -281,38 +299,40 @@
         lost
     }
 
-    /// Orders that are overdue by now, and all that was on its way through relays that are silent.
+    /// Removes the relays whose heartbeat timed out, and returns the orders in flight there and the
+    /// overdue orders of the other relays.
     pub fn take_overdue(&mut self, now: Time) -> Vec<LostOrder> {
         let silent = self.relays.iter();
-        let silent = silent.filter(|(_, r)| now.since(r.heard) >= SILENCE);
+        let silent = silent.filter(|(_, r)| now.since(r.last_heartbeat) >= HEARTBEAT_TIMEOUT);
         let silent: Vec<NodeName> = silent.map(|(node, _)| node.clone()).collect();
         let mut lost = Vec::new();
         for node in silent {
             lost.extend(self.remove_relay(&node, "silent"));
         }
         for relay in self.relays.values_mut() {
-            for (worker, waiting) in &mut relay.pending {
-                let late = waiting.extract_if(.., |(_, until)| *until <= now);
+            for (worker, in_flight) in &mut relay.pending {
+                let late = in_flight.extract_if(.., |(_, deadline)| *deadline <= now);
                 lost.extend(late.map(|(order, _)| LostOrder {
                     worker: worker.clone(),
                     order,
                 }));
             }
-            relay.pending.retain(|_, waiting| !waiting.is_empty());
+            relay.pending.retain(|_, in_flight| !in_flight.is_empty());
         }
         lost
     }
 
-    /// The moment, on a relay's clock, at which the ownership was confirmed `age` ago, at the
-    /// latest. The relay gives no order that comes too late after it.
+    /// The time on a relay's clock at which the ownership was last confirmed, `age` ago; never later
+    /// than the actual time. A relay sends an order only within a limited time after it.
     ///
-    /// Failure: a relay is frozen with orders in hand, and wakes when another owner has settled
-    /// them; tasks run twice. The two clocks have nothing in common, but the relay's last
-    /// heartbeat was sent before it was heard.
+    /// Otherwise a relay could be suspended with orders in its queue, resume after another owner
+    /// has settled their runs, and send them; tasks would run twice. The clocks of owner and relay
+    /// are unrelated, but the relay read its clock for its last heartbeat before the owner received
+    /// it, so the time that has passed since then gives a lower bound of the relay's clock.
     pub fn confirmation_time(&self, now: Time, node: &NodeName, age: Duration) -> Option<Time> {
         let relay = self.relays.get(node)?;
-        let there = relay.offer.clock.after(now.since(relay.heard));
+        let relay_now = relay.offer.clock.after(now.since(relay.last_heartbeat));
         let age = age.as_millis() as u64;
-        Some(Time::new(there.get().saturating_sub(age)))
+        Some(Time::new(relay_now.get().saturating_sub(age)))
     }
 }
--- a/crates/relay/src/site.rs
+++ b/crates/relay/src/site.rs
@@ -1,18 +1,18 @@
-//! Where a worker is.
+//! Location of a worker.
 
 use cactuswheel_work::{WorkerEntry, ZoneName};
 
-/// Where a worker is.
+/// Location of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Site {
-    /// Its data centre.
+    /// Data centre.
     pub zone: ZoneName,
-    /// Its rack, if it names one.
+    /// Rack; `None` if the worker's entry names none.
     pub rack: Option<String>,
 }
 
 impl Site {
-    /// Of a worker by its entry in the platform's list.
+    /// The location of a worker according to its entry in the platform's roster.
     pub fn of(entry: &WorkerEntry) -> Self {
         Self {
             zone: entry.zone.clone(),
--- a/crates/relay/src/spec_cache.rs
+++ b/crates/relay/src/spec_cache.rs
@@ -1,4 +1,4 @@
-//! What jobs run, for as long as there is room for it.
+//! Cache of job specs.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,51 +7,52 @@
 
 use crate::SpecDigest;
 
-/// What jobs run, by content, the newest of it.
+/// The most recently added job specs, by digest.
 ///
-/// A front keeps what it has accepted and a relay what it has sent, so that an owner on a narrow
-/// link can name it instead of sending it with each job.
+/// A node's front end caches the specs that it accepts, and a relay those that it receives,
+/// so that an owner on a slow link can refer to a spec by its digest instead of sending it.
 ///
-/// Invariant: all texts together take at most `most` bytes.
+/// Invariant: the specs together take at most `max_bytes` bytes.
 #[derive(Debug)]
 pub struct SpecCache {
-    most: usize,
+    max_bytes: usize,
     bytes: usize,
-    texts: Map<SpecDigest, Arc<str>>,
-    /// Oldest first.
+    specs: Map<SpecDigest, Arc<str>>,
+    /// Digests of the cached specs, oldest first.
     order: VecDeque<SpecDigest>,
 }
 
 impl SpecCache {
-    /// An empty cache for `most` bytes.
-    pub fn new(most: usize) -> Self {
+    /// An empty cache of up to `max_bytes` bytes.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            most,
+            max_bytes,
             bytes: 0,
-            texts: Map::default(),
+            specs: Map::default(),
             order: VecDeque::new(),
         }
     }
 
-    /// Keeps a text, and evicts the oldest ones that leave no room for it.
+    /// Adds a spec and evicts the oldest specs until the rest fits. Does nothing if the spec is
+    /// cached already or exceeds the size of the cache.
     pub fn insert(&mut self, spec: &Arc<str>) {
         let digest = SpecDigest::of(spec);
-        if spec.len() > self.most || self.texts.contains_key(&digest) {
+        if spec.len() > self.max_bytes || self.specs.contains_key(&digest) {
             return;
         }
         self.bytes += spec.len();
-        self.texts.insert(digest, spec.clone());
+        self.specs.insert(digest, spec.clone());
         self.order.push_back(digest);
-        while self.bytes > self.most
+        while self.bytes > self.max_bytes
             && let Some(oldest) = self.order.pop_front()
         {
-            let evicted = self.texts.remove(&oldest);
-            self.bytes -= evicted.map_or(0, |text| text.len());
+            let evicted = self.specs.remove(&oldest);
+            self.bytes -= evicted.map_or(0, |s| s.len());
         }
     }
 
-    /// The text of a digest, if it is still there.
+    /// The spec with this digest, if it is cached.
     pub fn get(&self, digest: &SpecDigest) -> Option<Arc<str>> {
-        self.texts.get(digest).cloned()
+        self.specs.get(digest).cloned()
     }
 }
--- a/crates/relay/src/spec_digest.rs
+++ b/crates/relay/src/spec_digest.rs
@@ -1,16 +1,16 @@
-//! Names what a job runs by its content.
+//! Digest of a job spec.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Names what a job runs by its content: whoever has a text of this digest has the right one.
+/// BLAKE3 digest of a job spec. Two specs with the same digest are the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SpecDigest([u8; 32]);
 
 impl SpecDigest {
-    /// Of a text.
+    /// The digest of a spec.
     pub fn of(spec: &str) -> Self {
         Self(*blake3::hash(spec.as_bytes()).as_bytes())
     }
--- a/crates/relay/src/spec_origins.rs
+++ b/crates/relay/src/spec_origins.rs
@@ -1,4 +1,4 @@
-//! Where relays can get what jobs run.
+//! Nodes from which relays can fetch job specs.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,19 +7,20 @@
 use cactuswheel_model::{Map, Time};
 use cactuswheel_work::JobId;
 
-/// Time for which a node is believed to have what a job runs.
+/// How long a node is assumed to have a job's spec cached.
 const ORIGIN_TTL: Duration = Duration::from_secs(60);
 
-/// Which node has what a job runs: the front that has accepted it, or a relay that was sent it.
+/// For each recent job, the address of a node that has its spec cached: the node whose front end
+/// accepted the job, or a relay that the spec was sent to.
 #[derive(Debug, Default)]
 pub struct SpecOrigins {
     nodes: Map<JobId, SocketAddr>,
-    /// Oldest first.
+    /// Jobs by the time at which they were first inserted, oldest first.
     order: VecDeque<(Time, JobId)>,
 }
 
 impl SpecOrigins {
-    /// The node at `addr` has what a job runs, or is about to.
+    /// Records that the node at `addr` has a job's spec or is about to receive it.
     pub fn insert(&mut self, now: Time, job: JobId, addr: SocketAddr) {
         if self.nodes.insert(job, addr).is_none() {
             self.order.push_back((now, job));
@@ -32,12 +33,12 @@
         }
     }
 
-    /// A relay did not get it there.
+    /// Removes the node of a job's spec, after a relay failed to fetch the spec there.
     pub fn remove(&mut self, job: &JobId) {
         self.nodes.remove(job);
     }
 
-    /// Where to get what a job runs; `None` if nobody is known to have it.
+    /// Address of a node that has the job's spec; `None` if no such node is known.
     pub fn get(&self, job: &JobId) -> Option<SocketAddr> {
         self.nodes.get(job).copied()
     }
--- a/crates/rtt/src/lib.rs
+++ b/crates/rtt/src/lib.rs
@@ -1,95 +1,93 @@
-//! How long to wait for an answer before asking again beside it.
+//! Estimates how long to wait for the answer to a call before repeating the call.
 //!
-//! A pure estimator: it is told how long answers took and gives a time limit. It has no clock and
-//! sends nothing. Whoever uses it has to make calls that are idempotent: the call that was not
-//! waited for any longer may still be carried out.
+//! The estimator has no clock and does no I/O: its user records how long answers took and asks for
+//! the timeout. Calls have to be idempotent, as a call that timed out may still be carried out
+//! beside its repetition.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Weights of the newest answer in the mean and in the deviation, as inverse powers of two: those
-/// that TCP uses for its retransmission timer (RFC 6298).
+/// Weights of the newest answer in the mean and in the deviation, as negative powers of two; the
+/// weights of TCP's retransmission timer (RFC 6298).
 const MEAN_SHIFT: u32 = 3;
 const DEVIATION_SHIFT: u32 = 2;
 
-/// Deviations beyond the mean that an answer may take, also from there.
-const DEVIATIONS: u64 = 4;
+/// Number of deviations that the timeout is above the mean; also from RFC 6298.
+const DEVIATION_FACTOR: u64 = 4;
 
-/// Doublings of the limit at the most; the bound on it is reached before.
-const MAX_DOUBLED: u32 = 6;
+/// Maximum number of times that the timeout is doubled. Its upper bound is reached earlier.
+const MAX_DOUBLINGS: u32 = 6;
 
-/// The time that answers of one peer take, and the limit that follows from it.
+/// Estimates the round-trip time of calls to a peer, and the timeout after which to repeat a call.
 ///
-/// Answers a peer that is quick as a rule, loses an answer at times and turns slow by a factor of
-/// a hundred at others. A fixed limit is wrong on both days: a short one makes a slow peer slower
-/// with repeats, a long one holds everything up for each lost answer.
+/// A peer may be fast most of the time, lose an answer now and then, and at other times become
+/// slower by a factor of a hundred. A fixed timeout does not fit both: a short one makes a slow
+/// peer even slower through repeated calls, and a long one delays everything after each lost
+/// answer.
 ///
-/// Callers on several tasks share one; two answers at the same moment may count as one, which
-/// moves the estimate a little and harms nothing.
+/// Several tasks may share an estimator. If two of them record an answer at the same moment, one of
+/// the two may be lost; this changes the estimate only slightly and does no harm.
 #[derive(Debug)]
 pub struct RttEstimator {
-    /// Least and longest limit.
+    /// Lower and upper bound of the timeout.
     bounds: (Duration, Duration),
-    /// Smoothed time of an answer in microseconds; 0 before the first.
+    /// Smoothed round-trip time in microseconds; 0 before the first answer.
     mean: AtomicU64,
-    /// Its smoothed deviation in microseconds.
+    /// Smoothed deviation of the round-trip time in microseconds.
     deviation: AtomicU64,
-    /// Limits that passed in a row.
-    doubled: AtomicU32,
+    /// Number of timeouts since the last answer, at most [`MAX_DOUBLINGS`].
+    timeouts: AtomicU32,
 }
 
 impl RttEstimator {
-    /// An estimator whose limit stays between `least` and `most`.
-    pub fn new(least: Duration, most: Duration) -> Self {
+    /// An estimator whose timeout stays between `lower` and `upper`.
+    pub fn new(lower: Duration, upper: Duration) -> Self {
         Self {
-            bounds: (least, most),
+            bounds: (lower, upper),
             mean: AtomicU64::new(0),
             deviation: AtomicU64::new(0),
-            doubled: AtomicU32::new(0),
+            timeouts: AtomicU32::new(0),
         }
     }
 
-    /// Time to wait for the next answer.
+    /// How long to wait for the next answer before the call is repeated.
     pub fn retry_timeout(&self) -> Duration {
-        let (least, most) = self.bounds;
+        let (lower, upper) = self.bounds;
         let mean = self.mean.load(Ordering::Relaxed);
         let deviation = self.deviation.load(Ordering::Relaxed);
-        let usual = Duration::from_micros(mean + DEVIATIONS * deviation).max(least);
-        let doubled = self.doubled.load(Ordering::Relaxed);
-        usual.saturating_mul(1 << doubled).min(most)
+        let estimate = Duration::from_micros(mean + DEVIATION_FACTOR * deviation).max(lower);
+        let timeouts = self.timeouts.load(Ordering::Relaxed);
+        estimate.saturating_mul(1 << timeouts).min(upper)
     }
 
-    /// An answer came after `took`, counted from its own call.
-    pub fn record_answer(&self, took: Duration) {
-        let took = took
-            .as_micros()
-            .try_into()
-            .unwrap_or(u64::MAX >> MEAN_SHIFT);
+    /// Records an answer that was received `rtt` after the call that it answers was sent.
+    pub fn record_answer(&self, rtt: Duration) {
+        let rtt = rtt.as_micros().try_into().unwrap_or(u64::MAX >> MEAN_SHIFT);
         let mean = self.mean.load(Ordering::Relaxed);
         let (mean, deviation) = match mean {
-            0 => (took.max(1), took / 2),
+            0 => (rtt.max(1), rtt / 2),
             _ => {
                 let deviation = self.deviation.load(Ordering::Relaxed);
-                let off = mean.abs_diff(took);
+                let difference = mean.abs_diff(rtt);
                 (
-                    smoothed(mean, took, MEAN_SHIFT),
-                    smoothed(deviation, off, DEVIATION_SHIFT),
+                    smooth(mean, rtt, MEAN_SHIFT),
+                    smooth(deviation, difference, DEVIATION_SHIFT),
                 )
             }
         };
         self.mean.store(mean, Ordering::Relaxed);
         self.deviation.store(deviation, Ordering::Relaxed);
-        self.doubled.store(0, Ordering::Relaxed);
+        self.timeouts.store(0, Ordering::Relaxed);
     }
 
-    /// The limit passed without an answer: the next one is twice as long.
+    /// Records a timeout without an answer; the next timeout is twice as long.
     pub fn record_timeout(&self) {
-        let doubled = self.doubled.load(Ordering::Relaxed);
-        self.doubled
-            .store((doubled + 1).min(MAX_DOUBLED), Ordering::Relaxed);
+        let timeouts = self.timeouts.load(Ordering::Relaxed);
+        self.timeouts
+            .store((timeouts + 1).min(MAX_DOUBLINGS), Ordering::Relaxed);
     }
 }
 
-fn smoothed(old: u64, new: u64, shift: u32) -> u64 {
+fn smooth(old: u64, new: u64, shift: u32) -> u64 {
     old - (old >> shift) + (new >> shift)
 }
