--- a/crates/work/src/advice.rs
+++ b/crates/work/src/advice.rs
@@ -1,14 +1,14 @@
-//! The policy of a queue whose steps may run on some workers only.
+//! Use of the policy service, which restricts the workers that may run the steps of a queue.
 
 use cactuswheel_model::Millis;
 
-/// What asking the policy service costs.
+/// How long calls to the policy service take and how long its permissions are valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Advice {
-    /// Time that each question takes.
+    /// Duration of each call, whatever the number of workers.
     pub base: Millis,
-    /// Further time for each worker named.
+    /// Additional duration for each worker that the call asks about.
     pub each: Millis,
-    /// How long a permission holds.
+    /// How long a permission is valid.
     pub valid: Millis,
 }
--- a/crates/work/src/end.rs
+++ b/crates/work/src/end.rs
@@ -1,4 +1,4 @@
-//! The end of a run, as a worker lists it.
+//! Ends of runs, as listed by workers.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,28 +7,28 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndReason {
-    /// Its work is done.
+    /// It completed successfully.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, because of the task or the worker.
     Failed,
-    /// It was told to stop.
+    /// A stop order ended it.
     Stopped,
     /// Its lease expired.
     Expired,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
-/// One row of a worker's list of ends.
+/// An entry in a worker's list of ended runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Number within the worker's life; rises from 1.
+    /// Sequence number within the incarnation of the worker, starting at 1.
     pub number: u64,
     /// The task.
     pub task: TaskId,
-    /// Which run of the task.
+    /// Number of the run of the task.
     pub run: u32,
     /// How it ended.
     pub how: EndReason,
--- a/crates/work/src/fleet_config.rs
+++ b/crates/work/src/fleet_config.rs
@@ -1,22 +1,22 @@
-//! The operators' configuration.
+//! Configuration of the fleet by the operators.
 
 use cactuswheel_model::Map;
 
 use crate::{Queue, QueueName, Service, ServiceName, Team, TeamName};
 
-/// Bounds on callers' requests.
+/// Size limits of callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body: usize,
 }
 
-/// One version of the configuration, whole.
+/// A complete version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetConfig {
-    /// Rises with each change, in uneven steps.
+    /// Version number; increases with each change, but not always by one.
     pub version: u64,
     /// Queues by name.
     pub queues: Map<QueueName, Queue>,
@@ -24,14 +24,15 @@
     pub services: Map<ServiceName, Service>,
     /// Teams by name.
     pub teams: Map<TeamName, Team>,
-    /// Team of each key.
+    /// The team that each key belongs to.
     pub keys: Map<String, TeamName>,
-    /// Bounds on requests.
+    /// Size limits of requests.
     pub limits: RequestLimits,
 }
 
 impl FleetConfig {
-    /// The queue that a request names: the longest prefix of its path on its host.
+    /// The queue that a request addresses: among the queues of its host whose prefix matches the
+    /// path, the one with the longest prefix.
     pub fn queue_at(&self, host: &str, path: &str) -> Option<&Queue> {
         let fits = |q: &&Queue| q.host == host && path.starts_with(&q.prefix);
         let found = self.queues.values().filter(fits);
--- a/crates/work/src/instance.rs
+++ b/crates/work/src/instance.rs
@@ -1,17 +1,17 @@
-//! An instance of the supplier's stock.
+//! Instances that the platform provides.
 
 use crate::{InstanceName, Room, ServiceName, WorkerId, ZoneName};
 
-/// What an instance is doing.
+/// State of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceState {
-    /// A worker runs on it, or could.
+    /// A worker runs on it or can be started.
     Up,
-    /// On its way to another pool.
+    /// It is being moved to another pool.
     Moving,
-    /// Under maintenance.
+    /// It is under maintenance.
     Maintained,
-    /// Not to be had.
+    /// It is not available.
     Down,
 }
 
@@ -20,16 +20,16 @@
 pub struct Instance {
     /// Its name.
     pub name: InstanceName,
-    /// Service whose pool it is in.
+    /// The service whose pool it belongs to.
     pub pool: ServiceName,
-    /// What it is doing.
+    /// Its state.
     pub state: InstanceState,
     /// Its data centre.
     pub zone: ZoneName,
-    /// Its kind and rack.
+    /// Its kind and its rack.
     pub labels: Vec<String>,
-    /// What it has.
+    /// Its resources.
     pub room: Room,
-    /// The worker on it, if one runs.
+    /// The worker that runs on it, if any.
     pub worker: Option<WorkerId>,
 }
--- a/crates/work/src/instance_order.rs
+++ b/crates/work/src/instance_order.rs
@@ -2,19 +2,20 @@
 
 use crate::{InstanceName, NodeName, ServiceName};
 
-/// Names an order's giver and shuts out earlier ones, for each instance by itself.
+/// Identifies the node that gives an order, and fences off earlier owners. Each instance keeps
+/// track of the highest fencing token by itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderToken {
-    /// Who gives it.
+    /// The node that gives the order.
     pub holder: NodeName,
     /// Fencing token.
     pub fence: u64,
 }
 
-/// What an instance is told.
+/// An order to an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InstanceOrder {
-    /// Change to another pool.
+    /// Move to another pool.
     Move {
         /// The instance.
         instance: InstanceName,
@@ -25,26 +26,26 @@
     Maintain {
         /// The instance.
         instance: InstanceName,
-        /// The wave that asks for it.
+        /// Number of the maintenance wave that the instance belongs to.
         wave: u64,
     },
 }
 
-/// What became of an order to an instance.
+/// Outcome of an order to an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceOutcome {
-    /// Under way, or done before.
+    /// It is being carried out, or was carried out before.
     Done,
-    /// A higher fencing token was seen.
+    /// The instance has seen a higher fencing token.
     Fence,
-    /// The instance is not up, or its worker leaves.
+    /// The instance is not up, or its worker is about to leave.
     Busy,
-    /// It is not of that wave.
+    /// The instance does not belong to that wave.
     OtherWave,
-    /// No such instance, or the pool is one of other instances.
+    /// The instance does not exist, or the pool is for other kinds of instances.
     Invalid,
-    /// Nothing was done, for now.
+    /// It was refused with this HTTP status and not carried out; it may be repeated later.
     Refused(u16),
-    /// It may be carried out, now or later.
+    /// The outcome is unknown: it may be carried out, now or later.
     Unknown,
 }
--- a/crates/work/src/job_id.rs
+++ b/crates/work/src/job_id.rs
@@ -1,30 +1,30 @@
-//! Identifier of a job.
+//! Identifiers of jobs.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Digits of an identifier.
+/// Number of digits of an identifier.
 const DIGITS: usize = 16;
 
-/// Identifier that the caller chose: 16 lower-case hexadecimal digits.
+/// Identifier of a job, chosen by the caller: 16 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobId(u64);
 
-/// A text that is no job identifier.
+/// Error for a text that is not a job identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a job id has {DIGITS} lower-case hexadecimal digits")]
 pub struct ParseJobIdError;
 
 impl JobId {
-    /// Wraps a plain number.
+    /// The identifier with this numeric value.
     pub const fn new(n: u64) -> Self {
         Self(n)
     }
 
-    /// The plain number.
+    /// The numeric value.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -40,7 +40,8 @@
     type Err = ParseJobIdError;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        // The parser below would take a sign and capitals, which would come back changed.
+        // `from_str_radix` also accepts a sign and upper-case digits, but formatting the result
+        // would not give the same text.
         let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
         if s.len() != DIGITS || !s.bytes().all(hex) {
             return Err(ParseJobIdError);
--- a/crates/work/src/job_state.rs
+++ b/crates/work/src/job_state.rs
@@ -1,24 +1,24 @@
-//! State of a job as callers see it.
+//! States of jobs, as callers see them.
 
 use serde::{Deserialize, Serialize};
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted; none of its tasks has started.
+    /// It was accepted, and none of its tasks has started.
     Queued,
-    /// A task has started.
+    /// At least one of its tasks has started.
     Running,
-    /// Every task has ended as done.
+    /// Every task has completed.
     Complete,
-    /// A task has failed as often as the queue allows.
+    /// A task has failed as many times as the queue allows.
     Failed,
-    /// Cancelled by the caller.
+    /// It was cancelled by the caller.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether nothing of the job will ever run again.
+    /// Whether the state is final: no task of the job will run any more.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Complete | Self::Failed | Self::Cancelled)
     }
--- a/crates/work/src/lib.rs
+++ b/crates/work/src/lib.rs
@@ -1,8 +1,8 @@
-//! The vocabulary of work on a platform's workers: jobs of several steps, the tasks of a step,
-//! queues, teams with caps, workers and what they say of themselves, instances and pools.
+//! Data types for work on a platform's workers: jobs and their steps and tasks, queues, teams and
+//! their caps, workers and their status, orders, instances and pools.
 //!
-//! Plain data only: no I/O, no clock, no decisions. The platform's names never appear here; the
-//! adapter translates them.
+//! The types are plain data: no I/O, no clock, no decisions. The platform's own terms do not appear
+//! here; the adapter translates them.
 
 mod advice;
 mod end;
--- a/crates/work/src/name.rs
+++ b/crates/work/src/name.rs
@@ -1,6 +1,6 @@
-//! Names that the platform's operator or its workers choose.
+//! Names chosen by the platform's operators or its workers.
 
-/// Declares one kind of name: a cheaply cloned string with no syntax of its own.
+/// Defines a type of names: a string that is cheap to clone and may have any syntax.
 macro_rules! name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -16,7 +16,8 @@
         #[serde(transparent)]
         pub struct $name(std::sync::Arc<str>);
 
-        // Most names that are compared are copies of one.
+        // Most names that are compared are clones of the same name, so comparing the pointers is
+        // usually enough.
         impl PartialEq for $name {
             fn eq(&self, other: &Self) -> bool {
                 std::sync::Arc::ptr_eq(&self.0, &other.0) || self.0 == other.0
@@ -30,7 +31,7 @@
         }
 
         impl $name {
-            /// The name as text.
+            /// The name as a string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -75,7 +76,7 @@
     QueueName
 }
 name! {
-    /// Name of a service: a pool of instances and the queues that run there.
+    /// Name of a service: a pool of instances and the queues whose tasks run there.
     ServiceName
 }
 name! {
@@ -83,11 +84,11 @@
     TeamName
 }
 name! {
-    /// Identifier of a worker: one life, or several under one name, of an instance.
+    /// Identifier of a worker on an instance; successive incarnations may use the same one.
     WorkerId
 }
 name! {
-    /// Name of an instance; it outlives the workers that run on it.
+    /// Name of an instance; stays the same while workers on the instance come and go.
     InstanceName
 }
 name! {
@@ -95,6 +96,6 @@
     ZoneName
 }
 name! {
-    /// Name of a process of this system.
+    /// Name of a node, a process of this system.
     NodeName
 }
--- a/crates/work/src/order_outcome.rs
+++ b/crates/work/src/order_outcome.rs
@@ -1,14 +1,14 @@
-//! What becomes of an order.
+//! Outcomes of orders to workers.
 
 use serde::{Deserialize, Serialize};
 
-/// What became of any other order.
+/// Outcome of a stop or throttle order to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// Carried out.
+    /// It was carried out.
     Done,
-    /// Refused; nothing was done.
+    /// It was refused with this HTTP status and not carried out.
     Refused(u16),
-    /// It may be carried out, now or later, or was never sent.
+    /// The outcome is unknown: it may be carried out, now or later, or was never sent.
     Unknown,
 }
--- a/crates/work/src/pace_order.rs
+++ b/crates/work/src/pace_order.rs
@@ -4,14 +4,14 @@
 
 use crate::TaskId;
 
-/// Tells a worker at which share a run may work.
+/// Limits the speed of a run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PaceOrder {
     /// The task.
     pub task: TaskId,
     /// Number of the run.
     pub run: u32,
-    /// The share.
+    /// Maximum speed in percent of full speed.
     pub percent: u32,
     /// Fencing token.
     pub fence: u64,
--- a/crates/work/src/poll_order.rs
+++ b/crates/work/src/poll_order.rs
@@ -1,41 +1,42 @@
-//! Orders that renew a lease and look.
+//! Orders that renew the lease of a worker and poll its status.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Renews the lease of everything on a worker and looks at it.
+/// Renews the lease of all runs on a worker and polls its status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollOrder {
-    /// When the lease expires, on the worker's clock; `None` leaves it as it is.
+    /// When the lease expires, in milliseconds on the worker's clock; `None` does not renew it.
     pub expiry: Option<u64>,
     /// Fencing token.
     pub fence: u64,
-    /// Ends up to this number are acknowledged: the worker forgets them.
+    /// Acknowledges the ends of runs up to this number; the worker removes them from its list.
     pub seen: u64,
-    /// The life that they belong to, as its start in milliseconds since 1970. Another life has
-    /// numbers of its own and must not be told to forget what nobody has seen.
+    /// Incarnation of the worker that `seen` refers to, as its start in milliseconds since 1970.
+    /// Another incarnation numbers its ends independently, and must not remove ends that no owner
+    /// has received.
     pub born: u64,
-    /// How long the answer may wait for an end.
+    /// How long the worker may delay its answer while no run ends.
     pub wait: Duration,
 }
 
-/// Why a look shows nothing.
+/// Why a poll returned no status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum PollError {
-    /// Another worker, or another life, is at this address.
+    /// Another worker, or another incarnation of the worker, uses this address.
     #[error("another worker is at this address")]
     OtherLife,
-    /// A higher fencing token was seen.
+    /// The worker has seen a higher fencing token.
     #[error("a higher fencing token was seen")]
     Fence,
-    /// The worker refused to answer.
+    /// The worker refused the poll with this HTTP status.
     #[error("refused, status {0}")]
     Refused(u16),
-    /// No connection.
+    /// The worker could not be reached.
     #[error("cannot be reached")]
     NotSent,
-    /// No whole answer.
+    /// No complete and valid answer was received.
     #[error("no answer: {0}")]
     Unknown(String),
 }
--- a/crates/work/src/queue.rs
+++ b/crates/work/src/queue.rs
@@ -1,32 +1,33 @@
-//! A queue that callers submit jobs to.
+//! Queues that callers submit jobs to.
 
 use cactuswheel_model::Millis;
 
 use crate::{Advice, QueueName, ServiceName};
 
-/// A queue, by host and path.
+/// A queue that callers submit jobs to, addressed by host and path.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Queue {
     /// Its name.
     pub name: QueueName,
-    /// Host that callers name.
+    /// Host name in callers' requests.
     pub host: String,
-    /// Beginning of the path.
+    /// Prefix of the path of callers' requests.
     pub prefix: String,
-    /// Service whose workers run its tasks.
+    /// The service whose workers run its tasks.
     pub service: ServiceName,
-    /// Calls need no key.
+    /// Requests need no key.
     pub public: bool,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Runs of a task that may fail before the job fails.
+    /// Number of failed runs of a task at which the job fails.
     pub attempts: u32,
-    /// Latency objective of a job: this many times its longest chain of work...
+    /// Factor in the latency objective of a job, which is `stretch` times the job's critical path
+    /// plus `allowance`.
     pub stretch: f64,
-    /// ...and this much more.
+    /// Constant part of the latency objective of a job.
     pub allowance: Millis,
-    /// Longest time that a call may take.
+    /// Maximum duration of a request.
     pub timeout: Millis,
-    /// Set where a policy service names the workers that may run a step.
+    /// Set if a policy service decides which workers may run a step.
     pub advice: Option<Advice>,
 }
--- a/crates/work/src/room.rs
+++ b/crates/work/src/room.rs
@@ -1,27 +1,27 @@
-//! Room on a worker.
+//! Amounts of resources.
 
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
 use serde::{Deserialize, Serialize};
 
-/// What a task takes up or a worker has.
+/// Amounts of resources, such as the request of a task or the capacity of a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
     /// Processor, in thousandths of a core.
     pub cpu: u64,
     /// Memory, in MiB.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpu: u64,
 }
 
 impl Room {
-    /// Whether this fits into `space`, in every kind of resource.
+    /// Whether every amount fits into that of `space`.
     pub const fn fits(self, space: Self) -> bool {
         self.cpu <= space.cpu && self.memory <= space.memory && self.gpu <= space.gpu
     }
 
-    /// The larger of both in every kind of resource.
+    /// The larger amount of each resource.
     pub fn max(self, other: Self) -> Self {
         Self {
             cpu: self.cpu.max(other.cpu),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether nothing at all is asked for or left.
+    /// Whether every amount is zero.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Never below nothing in any kind of resource.
+/// Saturates at zero for each resource.
 impl Sub for Room {
     type Output = Self;
 
--- a/crates/work/src/start_order.rs
+++ b/crates/work/src/start_order.rs
@@ -6,39 +6,40 @@
 
 use crate::TaskId;
 
-/// Tells a worker to start a run.
+/// Starts a run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskId,
     /// Number of this run.
     pub run: u32,
-    /// What to run.
+    /// Spec of the job, which tells the worker what to run.
     pub spec: Arc<str>,
-    /// When the lease of everything on the worker expires, on the worker's clock.
+    /// When the lease of all runs on the worker expires, in milliseconds on the worker's clock.
     pub expiry: u64,
     /// Fencing token.
     pub fence: u64,
     /// Checkpoint to resume from; empty if there is none.
     pub checkpoint: String,
-    /// Permission of the policy service, where the queue asks for one.
+    /// Permission of the policy service, if the queue requires one.
     pub ticket: Option<String>,
 }
 
-/// Why a run was surely not started by an order.
+/// Why a start order was refused. The order certainly has not started the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartRefusal {
-    /// A higher fencing token was seen.
+    /// The worker has seen a higher fencing token.
     Fence,
-    /// The run is not higher than one that ended or was stopped there.
+    /// The number of the run is not higher than that of a run of the task which has ended or was
+    /// stopped on the worker.
     Old,
-    /// The lease would have expired already.
+    /// The lease of the order has expired already.
     Late,
-    /// No room.
+    /// The worker does not have enough free resources.
     Room,
-    /// The policy service's permission is missing or has run out.
+    /// The permission of the policy service is missing or has expired.
     Ticket,
-    /// Another worker, or another life, is at this address.
+    /// Another worker, or another incarnation of the worker, uses this address.
     OtherLife,
     /// The worker is unhealthy.
     Unhealthy,
@@ -46,15 +47,15 @@
     Malformed,
 }
 
-/// What became of an order to start.
+/// Outcome of a start order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartOutcome {
-    /// The run is there.
+    /// The run exists on the worker.
     Started,
-    /// It was surely not started.
+    /// The order was refused, and has certainly not started the run.
     Refused(StartRefusal),
-    /// It was never sent.
+    /// The order was never sent.
     NotSent,
-    /// It may start, now or later.
+    /// The outcome is unknown: the run may start, now or later.
     Unknown,
 }
--- a/crates/work/src/step.rs
+++ b/crates/work/src/step.rs
@@ -1,53 +1,54 @@
-//! One step of a job.
+//! Steps of jobs.
 
 use cactuswheel_model::Millis;
 use serde::{Deserialize, Serialize};
 
 use crate::Room;
 
-/// Equal tasks that may run side by side.
+/// A step of a job: a number of equal tasks that may run in parallel.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Number of tasks.
     ///
     /// Invariant: at least 1.
     pub count: u32,
-    /// What each task takes up.
+    /// Resources of each task.
     pub room: Room,
-    /// The caller's guess of a task's run time; off by a factor of two as a rule.
+    /// The caller's estimate of the run time of a task; typically wrong by a factor of two.
     pub estimate: Millis,
-    /// Steps that have to be done first.
+    /// Steps that have to complete before this one starts.
     ///
-    /// Invariant: each is lower than the step's own number.
+    /// Invariant: each is lower than the index of this step.
     pub after: Vec<u32>,
-    /// Label that the worker must have.
+    /// Label that a worker must have to run the tasks.
     pub label: Option<String>,
-    /// Rack where the data is; elsewhere a task takes longer.
+    /// Rack that holds the data of the tasks; on other racks they take longer.
     pub near: Option<String>,
-    /// Most tasks of the step on one worker; 0 for no limit.
+    /// Maximum number of tasks of the step on one worker; 0 for no limit.
     pub spread: u32,
-    /// Name of what the tasks run; tasks of one image behave alike.
+    /// Name of the program that the tasks run; tasks with the same image behave alike.
     pub image: Option<String>,
-    /// Bound on the tail latency of what the tasks serve; 0 for tasks that serve nobody.
+    /// Target of the tail latency of tasks that serve requests; 0 for other tasks.
     pub target: Millis,
-    /// Most tasks that the system itself may have away at once; `None` for no budget.
+    /// Disruption budget: the maximum number of tasks that the system itself may keep from running
+    /// at a time; `None` for no budget.
     pub budget: Option<u32>,
-    /// The tasks run only all together and end together.
+    /// The tasks are a gang: they run only all together, and end together.
     pub gang: bool,
     /// The tasks take longer when they run on more than one rack.
     pub tight: bool,
-    /// The tasks keep checkpoints and can resume from them.
+    /// The tasks write checkpoints and can resume from them.
     pub resumable: bool,
-    /// Copies of a task may run side by side; the first that ends counts.
+    /// A task may have several runs in parallel; the first one to complete counts.
     pub speculative: bool,
-    /// The tasks run until the job is cancelled.
+    /// The tasks are long-running: they run until the job is cancelled.
     pub lasting: bool,
-    /// The tasks take the processor time that others leave over; their `cpu` is not reserved.
+    /// The tasks only use processor time that other tasks leave free; their `cpu` is not reserved.
     pub filler: bool,
 }
 
 impl Step {
-    /// What one task takes away from a worker's room.
+    /// The resources that are reserved for a task on its worker.
     pub fn reserved(&self) -> Room {
         match self.filler {
             true => Room {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Whether the tasks serve users of their own, with a bound on their latency.
+    /// Whether the tasks serve requests and have a target of the tail latency.
     pub fn serves(&self) -> bool {
         self.target.get() > 0
     }
--- a/crates/work/src/stop_order.rs
+++ b/crates/work/src/stop_order.rs
@@ -4,7 +4,7 @@
 
 use crate::TaskId;
 
-/// Tells a worker to stop a run.
+/// Stops a run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopOrder {
     /// The task.
--- a/crates/work/src/task_id.rs
+++ b/crates/work/src/task_id.rs
@@ -7,27 +7,27 @@
 
 use crate::JobId;
 
-/// One step of one occurrence of a job.
+/// Identifier of a step of an occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Occurrence, counted from 0; 0 for a job that runs once.
+    /// Index of the occurrence, from 0; 0 for a job that runs once.
     pub turn: u32,
-    /// Step, counted from 0.
+    /// Index of the step within the job, from 0.
     pub step: u32,
 }
 
-/// One task of a step.
+/// Identifier of a task of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The step.
     pub step: StepId,
-    /// Index within the step, counted from 0.
+    /// Index of the task within the step, from 0.
     pub index: u32,
 }
 
-/// A text that is no task identifier.
+/// Error for a text that is not a task identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a task id has the form JOB.TURN.STEP.INDEX")]
 pub struct ParseTaskIdError;
--- a/crates/work/src/team_weight.rs
+++ b/crates/work/src/team_weight.rs
@@ -1,19 +1,20 @@
-//! A team's share when the fleet is full.
+//! Weights of teams.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A team's share when the fleet is full, as jobs a second; shares of teams compare by it.
+/// Weight of a team, in jobs per second. When the fleet is full, teams get shares in proportion to
+/// their weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TeamWeight(f64);
 
-/// A text that is no weight.
+/// Error for a text that is not a weight.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a weight is a number from 0 on")]
 pub struct ParseTeamWeightError;
 
 impl TeamWeight {
-    /// A weight; what is no number from 0 on counts as 0.
+    /// The weight `weight`; 0 if it is negative, infinite or not a number.
     pub fn new(weight: f64) -> Self {
         Self(if weight.is_finite() {
             weight.max(0.0)
@@ -22,7 +23,7 @@
         })
     }
 
-    /// Jobs a second.
+    /// The weight, in jobs per second.
     pub const fn get(self) -> f64 {
         self.0
     }
--- a/crates/work/src/wave.rs
+++ b/crates/work/src/wave.rs
@@ -1,18 +1,18 @@
-//! A wave of maintenance.
+//! Maintenance waves.
 
 use cactuswheel_model::Millis;
 
 use crate::InstanceName;
 
-/// Instances that the operators want maintained.
+/// A maintenance wave: instances that the operators want to be maintained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wave {
     /// Its number.
     pub number: u64,
     /// Its instances.
     pub instances: Vec<InstanceName>,
-    /// Time in which all have to be done.
+    /// Time within which the maintenance of all instances has to be done.
     pub within: Millis,
-    /// Most instances of the wave that may be down for it at once.
+    /// Maximum number of instances that may be down for the wave at a time.
     pub cap: u32,
 }
--- a/crates/work/src/worker.rs
+++ b/crates/work/src/worker.rs
@@ -1,43 +1,43 @@
-//! A worker's entry in the platform's list.
+//! Entries of workers in the platform's roster.
 
 use std::net::SocketAddr;
 
 use crate::{Room, ServiceName, WorkerId, ZoneName};
 
-/// Whether a worker takes new work.
+/// Whether a worker accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It takes work.
+    /// It accepts new work.
     Ready,
-    /// It leaves; what runs there ends with it.
+    /// It is about to leave, and its runs end with it.
     Draining,
 }
 
-/// What a worker says of itself.
+/// A worker's entry in the platform's roster, written by the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerEntry {
     /// Its identifier.
     pub id: WorkerId,
-    /// Service whose pool it is in.
+    /// The service whose pool it belongs to.
     pub service: ServiceName,
-    /// Where it takes orders.
+    /// Address at which it accepts orders.
     pub addr: SocketAddr,
     /// Its data centre.
     pub zone: ZoneName,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub presence: Presence,
-    /// Start of this life, in milliseconds since 1970; 0 if it does not say.
+    /// Start of this incarnation, in milliseconds since 1970; 0 if the entry does not contain it.
     pub born: u64,
-    /// What it has.
+    /// Its resources.
     pub room: Room,
     /// Its kind and its rack, in this order.
     pub labels: Vec<String>,
 }
 
 impl WorkerEntry {
-    /// Its rack, if it names one.
+    /// Its rack; `None` if the labels do not contain one.
     pub fn rack(&self) -> Option<&str> {
-        // The kind comes first; an instance with one label names no rack.
+        // The first label is the kind; a worker with only one label has no rack.
         self.labels.get(1).map(String::as_str)
     }
 }
--- a/crates/work/src/worker_status.rs
+++ b/crates/work/src/worker_status.rs
@@ -1,33 +1,33 @@
-//! What a worker says when it is looked at.
+//! Status of a worker, as returned by a poll.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{End, TaskId};
 
-/// A run that is there.
+/// An entry in a worker's list of current runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Running {
     /// The task.
     pub task: TaskId,
-    /// Which run of the task.
+    /// Number of the run of the task.
     pub run: u32,
-    /// Newest checkpoint; empty if there is none.
+    /// Latest checkpoint; empty if there is none.
     pub checkpoint: String,
-    /// Share of the work that is done, or for a lasting task whether it is at work, in percent.
+    /// Progress in percent; for a long-running task, 100 if it is active.
     pub percent: u32,
-    /// Tail latency in milliseconds of a task that serves; processor in use of any other.
+    /// Tail latency in milliseconds if the task serves requests; otherwise the processor usage.
     pub gauge: u64,
 }
 
-/// Both lists of a worker and its clock, as of one moment.
+/// The current and the ended runs on a worker and its clock, all at the same moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerStatus {
-    /// The worker's own steady clock, in milliseconds.
+    /// Time on the worker's own monotonic clock, in milliseconds.
     pub clock: u64,
-    /// Start of this life, in milliseconds since 1970.
+    /// Start of this incarnation, in milliseconds since 1970.
     pub born: u64,
-    /// What runs there.
+    /// Current runs.
     pub running: Vec<Running>,
-    /// Ends that were not acknowledged yet, oldest first.
+    /// Ends of runs that are not acknowledged yet, oldest first.
     pub ended: Vec<End>,
 }
