--- a/crates/cell/src/accept.rs
+++ b/crates/cell/src/accept.rs
@@ -39,24 +39,24 @@
                 continue;
             };
             let worker = self.worker_mut(&attempt.worker);
-            worker.hold(task, held(attempt.run, step));
+            worker.allocate(task, held(attempt.run, step));
             self.usage.add(sub.team.as_ref(), step.room);
         }
         let job = self.jobs.get(&id);
-        self.timed
+        self.due_turns
             .extend(job.and_then(|j| Some((j.next_turn()?, id))));
         if job.is_some_and(|j| !j.is_open()) {
             self.open.remove(&id);
             self.stop_all(id);
         }
-        self.stirred = true;
+        self.reschedule = true;
     }
 
     /// Restores a finished job. Its submission may still be stored, since dropping submissions is
     /// best effort; in that case it is dropped again.
     fn restore_finished(&mut self, id: JobId, job: Finished) {
         if self.jobs.remove(&id).is_some() {
-            self.unneeded.push(id);
+            self.obsolete.push(id);
         }
         self.open.remove(&id);
         self.cancelled.remove(&id);
@@ -85,13 +85,13 @@
             log_accepted(&job);
         }
         self.count_arrival(&job);
-        self.timed.extend(job.next_turn().map(|due| (due, id)));
+        self.due_turns.extend(job.next_turn().map(|due| (due, id)));
         self.jobs.insert(id, job);
         self.open.insert(id);
         if self.cancelled.remove(&id) {
             self.cancel(now, id);
         }
-        self.stirred = true;
+        self.reschedule = true;
     }
 
     /// Counts the job towards its team's share; true if it exceeds the share.
--- a/crates/cell/src/admission.rs
+++ b/crates/cell/src/admission.rs
@@ -130,7 +130,8 @@
     /// Estimates the delay before a job of a service that arrives now starts.
     pub fn start_delay(&self, service: &ServiceName) -> StartDelay {
         let ahead = self.wait_queue.timely_tasks() as usize + self.planned.len();
-        let batches = ahead as f64 * self.admission.start_bytes / self.bounds.batch.max(1) as f64;
+        let batches =
+            ahead as f64 * self.admission.start_bytes / self.bounds.max_batch.max(1) as f64;
         let all_pools = drain_time(self.wait_queue.useful_work(), self.admission.total_cpu);
         let pool_total = self.admission.pool_cpu.get(service).copied();
         let own_pool = drain_time(
--- a/crates/cell/src/advice.rs
+++ b/crates/cell/src/advice.rs
@@ -67,12 +67,12 @@
         if tickets.pending.is_empty() {
             let free_index = workers.free_index(service).into_iter();
             let roomy = free_index.flat_map(|r| r.emptiest(Scope::All, 0));
-            let open = roomy.filter_map(|n| workers.at(n));
-            let open = open.filter(|w| w.is_open(now) && !tickets.denied.contains(&w.id));
+            let open = roomy.filter_map(|n| workers.by_number(n));
+            let open = open.filter(|w| w.is_schedulable(now) && !tickets.denied.contains(&w.id));
             tickets.pending = open.take(MAX_NAMED).map(|w| w.id.clone()).collect();
             if !tickets.pending.is_empty() {
                 let workers = tickets.pending.clone();
-                self.out.push(Output::Ask { step, workers });
+                self.outputs.push(Output::RequestAdvice { step, workers });
             }
         }
         Permitted::Pending
@@ -81,7 +81,7 @@
     /// Handles the answer of the policy service; `None` if it did not answer.
     pub fn advised(&mut self, now: Time, step: StepId, granted: Option<Vec<(WorkerId, String)>>) {
         self.now = now;
-        self.stirred = true;
+        self.reschedule = true;
         let valid = self.advice_of(step).map(|a| a.valid.duration());
         let Some(tickets) = self.tickets.get_mut(&step) else {
             return;
--- a/crates/cell/src/demand.rs
+++ b/crates/cell/src/demand.rs
@@ -40,7 +40,7 @@
         if job.sub.lasting() || self.now.since(job.arrived) > max_age {
             return;
         }
-        let learned = self.learned.entry(job.sub.queue.clone()).or_default();
+        let learned = self.queue_stats.entry(job.sub.queue.clone()).or_default();
         let mut profile = Forecast::default();
         for turn in &job.turns {
             let mut demand = Demand::new(&mut profile, learned);
@@ -63,7 +63,7 @@
     ) {
         let overdue = self.rank(job).0.is_late();
         let untrained = QueueStats::default();
-        let learned = self.learned.get(&job.sub.queue).unwrap_or(&untrained);
+        let learned = self.queue_stats.get(&job.sub.queue).unwrap_or(&untrained);
         for turn in &job.turns {
             let mut demand = Demand::new(&mut load.forecast, learned);
             demand.now = self.now.get();
@@ -122,7 +122,7 @@
                 self.forecast.add(step.reserved(), 0, remaining);
                 end = end.max(remaining);
             }
-            let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
+            let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
             let starting = match free > 0 && turn.is_ready(step) {
                 true => startable(step, free),
                 false => free,
@@ -147,7 +147,7 @@
         let start = attempt.started.get();
         let percent = u64::from(attempt.percent);
         let run_time = match percent >= MIN_PROGRESS_PERCENT && attempt.phase == Phase::Running {
-            true => attempt.moved.get().saturating_sub(start) * 100 / percent,
+            true => attempt.last_progress.get().saturating_sub(start) * 100 / percent,
             false => run_time,
         };
         let elapsed = self.now.saturating_sub(start);
--- a/crates/cell/src/starts.rs
+++ b/crates/cell/src/starts.rs
@@ -1,4 +1,4 @@
-//! Orders to start, and what becomes of them.
+//! Start orders and their answers.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use crate::batch::PlannedStart;
 use crate::cell::Cell;
 use crate::output::Output;
-use crate::worker::Looking;
+use crate::worker::PollState;
 
-/// Time for which a worker that said it has no room gets nothing more.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
+/// How long a worker that refused a task for lack of room gets no new tasks.
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
 
 impl Cell {
-    /// Orders a run that the journal holds by now.
-    pub(crate) fn order(&mut self, start: PlannedStart) {
+    /// Sends the start order of a run that the journal holds.
+    pub(crate) fn send_start(&mut self, start: PlannedStart) {
         let (now, lease) = (self.now, self.bounds.lease);
         let PlannedStart { task, run, worker } = start;
         let Some(attempt) = self.attempt_mut(task, run, &worker) else {
@@ -26,23 +26,23 @@
             return;
         }
         let born = attempt.born;
-        let place = self.workers.get_mut(&worker);
-        let place = place.filter(|w| w.born == born && !w.is_draining() && !w.evacuated);
-        let Some((place, entry)) = place
+        let target = self.workers.get_mut(&worker);
+        let target = target.filter(|w| w.born == born && !w.is_draining() && !w.evacuated);
+        let Some((target, entry)) = target
             .and_then(|w| Some((w.entry.clone()?, w)))
             .map(|(e, w)| (w, e))
         else {
-            // It was never ordered, so it never starts.
+            // The run was never ordered, so it cannot start.
             self.release(task, run, &worker);
             return;
         };
-        if place.is_overfull() {
-            log::info!(task:% = task, run = run, worker:% = worker; "start dropped: the room has shrunk");
+        if target.is_overcommitted() {
+            log::info!(task:% = task, run = run, worker:% = worker; "start dropped: worker no longer has room");
             self.release(task, run, &worker);
             return;
         }
-        let fence = place.fence;
-        let Some(expiry) = place.renew(lease, now) else {
+        let fence = target.fence;
+        let Some(expiry) = target.renew(lease, now) else {
             self.release(task, run, &worker);
             return;
         };
@@ -59,7 +59,7 @@
             attempt.enter(Phase::Ordered, now);
             attempt.fence = fence;
         }
-        self.out.push(Output::Start {
+        self.outputs.push(Output::Start {
             worker,
             addr: entry.addr,
             order: StartOrder {
@@ -74,8 +74,8 @@
         });
     }
 
-    /// What became of an order to start.
-    pub fn started(
+    /// Processes the answer to a start order.
+    pub fn start_answered(
         &mut self,
         now: Time,
         id: &WorkerId,
@@ -90,12 +90,12 @@
         let phase = attempt.phase;
         match outcome {
             StartOutcome::Started => {
-                attempt.sure = true;
+                attempt.start_confirmed = true;
                 if phase == Phase::Ordered {
                     attempt.enter(Phase::Running, now);
                     attempt.started = now;
-                    attempt.moved = now;
-                    self.watch(id, task);
+                    attempt.last_progress = now;
+                    self.poll_after_start(id, task);
                 }
                 let job = self.jobs.get(&task.job());
                 if job.is_some_and(|j| !j.started)
@@ -105,21 +105,21 @@
                 }
             }
             StartOutcome::NotSent => {
-                self.look_soon(id);
+                self.poll_soon(id);
                 self.release_unstarted(task, run, id, phase);
             }
-            StartOutcome::Refused(refusal) => self.refused(task, run, id, phase, refusal),
+            StartOutcome::Refused(refusal) => self.start_refused(task, run, id, phase, refusal),
             StartOutcome::Unknown => {
                 if phase == Phase::Ordered {
                     attempt.enter(Phase::Unknown, now);
                 }
-                log::warn!(task:% = task, run = run, worker:% = id; "start order without an answer");
-                self.doubt(id, "no answer");
+                log::warn!(task:% = task, run = run, worker:% = id; "start order not answered; outcome unknown");
+                self.fence_off(id, "no answer");
             }
         }
     }
 
-    fn refused(
+    fn start_refused(
         &mut self,
         task: TaskId,
         run: u32,
@@ -128,11 +128,11 @@
         refusal: StartRefusal,
     ) {
         let now = self.now;
-        log::info!(task:% = task, run = run, worker:% = id, refusal:? = refusal; "start refused");
+        log::info!(task:% = task, run = run, worker:% = id, refusal:? = refusal; "worker refused start order");
         match refusal {
             StartRefusal::Room => {
                 if let Some(worker) = self.workers.get_mut(id) {
-                    worker.full_until = now.after(FULL_PAUSE);
+                    worker.full_until = now.after(FULL_BACKOFF);
                 }
             }
             StartRefusal::Ticket => self.forget_ticket(task.step, id),
@@ -142,57 +142,59 @@
                 }
             }
             StartRefusal::Fence | StartRefusal::Late | StartRefusal::OtherLife => {
-                self.look_soon(id);
+                self.poll_soon(id);
             }
             StartRefusal::Old | StartRefusal::Malformed => {}
         }
         self.release_unstarted(task, run, id, phase);
     }
 
-    /// A run that surely was not started by its order. One that a look has shown stays.
+    /// Releases a run that its start order certainly did not start, unless a poll has shown it
+    /// running.
     fn release_unstarted(&mut self, task: TaskId, run: u32, id: &WorkerId, phase: Phase) {
         if matches!(phase, Phase::Ordered | Phase::Stopping) {
             self.release(task, run, id);
         }
     }
 
-    /// An order went wrong: a look under a new fencing token settles what is there.
+    /// Raises the worker's fencing token after an order with an unknown outcome, and polls the
+    /// worker to learn which runs it has.
     ///
-    /// Failure: an order without an answer may be carried out seconds later, after its task was
-    /// started elsewhere; the caller's work runs twice. A worker does nothing for a token below
-    /// the highest it has seen, so once it has answered a look under the new one, an older order
-    /// that has not started its run never will.
-    pub(crate) fn doubt(&mut self, id: &WorkerId, why: &str) {
+    /// An unanswered order may be carried out seconds later, after its task was restarted
+    /// elsewhere, and the caller's work would run twice. A worker ignores orders with a token
+    /// below the highest it has seen. Once it has answered a poll under the new token, an older
+    /// order that has not started its run never will.
+    pub(crate) fn fence_off(&mut self, id: &WorkerId, why: &str) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         self.fence += 1;
         worker.raise_fence(self.fence);
-        worker.looking = Looking::Due(self.now);
-        log::info!(worker:% = id, why:% = why, fence = worker.fence; "worker in doubt");
+        worker.poll_state = PollState::Due(self.now);
+        log::info!(worker:% = id, why:% = why, fence = worker.fence; "worker fenced off from earlier orders");
     }
 
-    /// A run has started: looks show soon when lasting work is at work, and whether a suspect has
-    /// taken the worker down.
-    fn watch(&mut self, id: &WorkerId, task: TaskId) {
+    /// Polls a worker soon after a start, if the run is long-running, to see when it becomes
+    /// active, or if it is a suspect, to see whether it has crashed the worker.
+    fn poll_after_start(&mut self, id: &WorkerId, task: TaskId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let lasting = worker.held.get(&task).is_some_and(|h| h.lasting);
-        worker.waking |= lasting;
-        if lasting || worker.trial == Some(task) {
-            worker.looking = Looking::Due(now);
+        let lasting = worker.allocations.get(&task).is_some_and(|h| h.lasting);
+        worker.warming_up |= lasting;
+        if lasting || worker.trial_task == Some(task) {
+            worker.poll_state = PollState::Due(now);
         }
     }
 
-    /// Something does not fit what is believed of a worker: it gets nothing until a look has
-    /// told more.
-    fn look_soon(&mut self, id: &WorkerId) {
+    /// Polls a worker soon because an answer contradicts its recorded state. It gets no new tasks
+    /// for [`FULL_BACKOFF`].
+    fn poll_soon(&mut self, id: &WorkerId) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.looking = Looking::Due(now);
-            worker.full_until = worker.full_until.max(now.after(FULL_PAUSE));
+            worker.poll_state = PollState::Due(now);
+            worker.full_until = worker.full_until.max(now.after(FULL_BACKOFF));
         }
     }
 }
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the owner's journal.
+//! Writer of the owner's journal.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,19 +13,20 @@
 use crate::appending::append;
 use crate::event::Event;
 use crate::shared::Shared;
-use crate::takeover::OWNER_NAME;
+use crate::takeover::PRODUCER_NAME;
 use crate::topics::{IntakeKey, JOURNAL, intake, intake_part};
 
-/// Time for an answer when something is dropped.
-const TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of an append that drops keys from the intake.
+const DROP_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time without an answer after which the journal counts as lost.
-const LOST_AFTER: Duration = Duration::from_millis(700);
+/// Time without an answer after which an append counts as stalled. This is logged, and the append
+/// is abandoned once the owner is gone.
+const STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause before an append is repeated.
-const RETRY: Duration = Duration::from_millis(30);
+/// Pause before a failed append is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Writes the journal under one ownership; copies share its place in it.
+/// Writes the journal under one epoch. Clones share the sequence number.
 #[derive(Debug, Clone)]
 pub(crate) struct JournalWriter {
     shared: Arc<Shared>,
@@ -35,10 +36,11 @@
     seq: Arc<AtomicU64>,
 }
 
-/// A newer owner writes the journal.
-struct ShutOut;
+/// Error: a newer owner writes the journal.
+struct Superseded;
 
 impl JournalWriter {
+    /// Creates a writer that reports to `events`.
     pub(crate) fn new(shared: Arc<Shared>, events: mpsc::Sender<Event>, epoch: u64) -> Self {
         Self {
             shared,
@@ -48,10 +50,11 @@
         }
     }
 
-    /// Appends a batch until it is certain, and says so.
+    /// Appends a batch, with retries until the outcome is certain, and sends [`Event::Appended`] or
+    /// [`Event::Deposed`]. Then removes the finished jobs of the batch from the intake.
     pub(crate) async fn append(self, batch: Batch) {
         let start = self.shared.clock.now();
-        let forgotten: Vec<JobId> = batch
+        let finished: Vec<JobId> = batch
             .records
             .iter()
             .filter(|(_, record)| record.is_none())
@@ -66,8 +69,8 @@
         let states = batch.records.into_iter();
         let states = states.map(|(id, v)| keyed(id.to_string(), v));
         let records: Vec<Keyed> = submissions.chain(states).collect();
-        // With the owner gone there is nobody to tell.
-        if let Err(ShutOut) = self.write(&records).await {
+        // Failed sends mean that the owner is gone and needs no events.
+        if let Err(Superseded) = self.write(&records).await {
             let _ = self.events.send(Event::Deposed).await;
             return;
         }
@@ -75,63 +78,71 @@
             .metrics
             .journaled(self.shared.clock.now().since(start));
         let _ = self.events.send(Event::Appended(batch.number)).await;
-        self.forget(&forgotten).await;
+        self.clear_intake(&finished).await;
     }
 
-    /// The same epoch and sequence number each time: the store does a repeat once, whatever
-    /// became of the tries before.
-    async fn write(&self, records: &[Keyed]) -> Result<(), ShutOut> {
-        let mut lost = false;
+    /// Appends records until that succeeds, a newer owner is detected or the owner is gone. Retries
+    /// use the same epoch and sequence number, so that the store applies the append only once,
+    /// whatever the outcome of earlier attempts.
+    async fn write(&self, records: &[Keyed]) -> Result<(), Superseded> {
+        let mut failing = false;
         while !self.events.is_closed() {
             let producer = Producer {
-                name: OWNER_NAME.into(),
+                name: PRODUCER_NAME.into(),
                 epoch: self.epoch,
                 seq: self.seq.load(Ordering::Acquire),
             };
-            let Some(done) = self.try_write(&producer, records, &mut lost).await else {
-                // Nobody owns the cell here any more.
+            let Some(done) = self.try_write(&producer, records, &mut failing).await else {
+                // This node no longer runs the cell.
                 return Ok(());
             };
             match done {
                 Ok(_) => {
                     self.seq.fetch_add(1, Ordering::AcqRel);
-                    if lost {
-                        log::info!(seq = producer.seq; "journal regained");
+                    if failing {
+                        log::info!(seq = producer.seq; "journal append succeeded after failures");
                     }
                     return Ok(());
                 }
                 Err(AppendError::Fenced) => {
-                    log::warn!(epoch = self.epoch, seq = producer.seq; "journal shut this owner out");
-                    return Err(ShutOut);
+                    log::warn!(
+                        epoch = self.epoch, seq = producer.seq;
+                        "journal is fenced off by a newer owner"
+                    );
+                    return Err(Superseded);
                 }
                 Err(AppendError::Sequence {
                     expected: Some(expected),
                 }) if expected < producer.seq => self.seq.store(expected, Ordering::Release),
                 Err(e) => {
-                    if !std::mem::replace(&mut lost, true) {
-                        log::warn!(error:% = e, seq = producer.seq; "journal lost");
+                    if !std::mem::replace(&mut failing, true) {
+                        log::warn!(
+                            error:% = e, seq = producer.seq;
+                            "journal append failed; retrying"
+                        );
                     }
-                    sleep(RETRY).await;
+                    sleep(RETRY_PAUSE).await;
                 }
             }
         }
         Ok(())
     }
 
-    /// `None` if the cell's owner is gone before the outcome is certain.
+    /// Makes one append; `None` if the owner is gone before the outcome is certain. Sets `failing`
+    /// and logs a warning if the append stalls.
     async fn try_write(
         &self,
         producer: &Producer,
         records: &[Keyed],
-        lost: &mut bool,
+        failing: &mut bool,
     ) -> Option<Result<Appended, AppendError>> {
         let append = append(&self.shared, "journal", JOURNAL, producer, records, || {});
         tokio::pin!(append);
-        if let Ok(done) = timeout(LOST_AFTER, append.as_mut()).await {
+        if let Ok(done) = timeout(STALL_TIMEOUT, append.as_mut()).await {
             return Some(done);
         }
-        if !std::mem::replace(lost, true) {
-            log::warn!(seq = producer.seq; "journal lost");
+        if !std::mem::replace(failing, true) {
+            log::warn!(seq = producer.seq; "journal append stalled");
         }
         tokio::select! {
             done = append => Some(done),
@@ -139,8 +150,9 @@
         }
     }
 
-    /// Drops what the intake holds of jobs that need it no more. One that stays does no harm.
-    pub(crate) async fn forget(&self, jobs: &[JobId]) {
+    /// Removes the intake records of jobs that are finished or fully in the journal. Failures are
+    /// not retried, since a leftover record is harmless.
+    pub(crate) async fn clear_intake(&self, jobs: &[JobId]) {
         let parts = self.shared.settings.parts;
         for part in 0..parts {
             let here = jobs.iter().filter(|id| intake_part(**id, parts) == part);
@@ -150,14 +162,15 @@
         }
     }
 
+    /// Drops keys from an intake partition.
     async fn drop_keys(&self, part: u32, records: &[Keyed]) {
         if records.is_empty() {
             return;
         }
         let store = &self.shared.store;
-        let done = store.append(intake(part), None, None, records, TIMEOUT);
+        let done = store.append(intake(part), None, None, records, DROP_TIMEOUT);
         if let Err(e) = done.await {
-            log::info!(part = part, error:% = e; "finished jobs stay in the intake");
+            log::info!(part = part, error:% = e; "failed to remove jobs from the intake");
         }
     }
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -135,9 +135,9 @@
 
     /// Adds what the cell has counted since its tallies were last taken.
     pub(crate) fn add_tallies(&self, since: Tallies) {
-        self.worker_ends.add(since.ended, &[]);
-        self.runs_lost.add(since.lost, &[]);
-        self.given_up.add(since.given_up, &[]);
+        self.worker_ends.add(since.workers_ended, &[]);
+        self.runs_lost.add(since.runs_lost, &[]);
+        self.given_up.add(since.jobs_given_up, &[]);
     }
 
     /// Sets the share of time during which the owner was busy, in percent.
--- a/crates/node/src/relay_client.rs
+++ b/crates/node/src/relay_client.rs
@@ -1,4 +1,4 @@
-//! Forwards orders to one relay.
+//! The owner's side of a relay: forwards orders to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,31 +13,33 @@
 use crate::relay_request::{Envelope, RelayRequest};
 use crate::shared::Shared;
 
-/// Time for a relay to say that it has an order.
-const TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of a message to a relay, not counting the queueing time on the link.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Messages to one relay that are under way at a time.
+/// Number of messages to one relay in flight.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// Largest message, in bytes.
-const MAX_MESSAGE: usize = 32 << 10;
+/// Size from which a message is sent, in bytes; further orders go into the next one.
+const MAX_MESSAGE_SIZE: usize = 32 << 10;
 
-/// Messages that may wait for a relay; one that is so far behind counts as lost.
-const QUEUE: usize = 256;
+/// Capacity of the send queue of a relay. A relay whose queue is full counts as lost.
+const QUEUE_CAPACITY: usize = 256;
 
-/// Forwards orders to one relay, until it is dropped.
+/// Forwards orders to one relay, until the client is dropped.
 pub(crate) struct RelayClient {
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
     epoch: u64,
     node: NodeName,
     addr: SocketAddr,
-    /// What is to go out next.
+    /// Orders for the next message.
     envelopes: Vec<Envelope>,
     requests: mpsc::Sender<RelayRequest>,
 }
 
 impl RelayClient {
+    /// Starts a client for the relay `node` at `addr`. If the relay fails, the client sends
+    /// [`Event::RelayLost`].
     pub(crate) fn start(
         shared: Arc<Shared>,
         events: mpsc::Sender<Event>,
@@ -45,8 +47,8 @@
         node: NodeName,
         addr: SocketAddr,
     ) -> Self {
-        let (requests, queue) = mpsc::channel(QUEUE);
-        let limit = TIMEOUT + shared.settings.link.queue_time();
+        let (requests, queue) = mpsc::channel(QUEUE_CAPACITY);
+        let limit = SUBMIT_TIMEOUT + shared.settings.link.queue_time();
         tokio::spawn(forward(node.clone(), addr, limit, queue, events.clone()));
         Self {
             shared,
@@ -59,42 +61,45 @@
         }
     }
 
+    /// Whether no orders wait for [`Self::send`].
     pub(crate) fn is_empty(&self) -> bool {
         self.envelopes.is_empty()
     }
 
+    /// Adds an order to the next message.
     pub(crate) fn add(&mut self, envelope: Envelope) {
         self.envelopes.push(envelope);
     }
 
-    /// Where the relay takes orders, and what it has been sent.
+    /// The relay's address, which also serves the specs that it has been sent.
     pub(crate) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends what was added; the ownership was confirmed then, on the relay's clock. What a job
-    /// runs is left out where `origin` knows a node that has it.
+    /// Sends the added orders. `confirmed` is when the ownership was confirmed, on the relay's
+    /// clock. A job's spec is omitted if `origin` gives the address of a node that has it.
     pub(crate) fn send(
         &mut self,
         confirmed: Time,
         mut origin: impl FnMut(JobId) -> Option<SocketAddr>,
     ) {
         let mut size = 0;
-        let mut part = Vec::new();
+        let mut chunk = Vec::new();
         for envelope in std::mem::take(&mut self.envelopes) {
             size += envelope.size();
-            part.push(envelope);
-            if size >= MAX_MESSAGE {
-                self.send_part(std::mem::take(&mut part), confirmed, &mut origin);
+            chunk.push(envelope);
+            if size >= MAX_MESSAGE_SIZE {
+                self.send_chunk(std::mem::take(&mut chunk), confirmed, &mut origin);
                 size = 0;
             }
         }
-        if !part.is_empty() {
-            self.send_part(part, confirmed, &mut origin);
+        if !chunk.is_empty() {
+            self.send_chunk(chunk, confirmed, &mut origin);
         }
     }
 
-    fn send_part(
+    /// Sends orders as one message.
+    fn send_chunk(
         &self,
         envelopes: Vec<Envelope>,
         confirmed: Time,
@@ -108,17 +113,21 @@
             specs: Vec::new(),
             envelopes,
         };
-        request.fold_specs(origin);
+        request.extract_specs(origin);
         if self.requests.try_send(request).is_err() {
-            let lost = Event::RelayLost(self.node.clone(), "far behind");
+            let lost = Event::RelayLost(self.node.clone(), "send queue is full");
             if self.events.try_send(lost).is_err() {
-                log::warn!(relay:% = self.node; "relay is far behind, and so is the owner");
+                log::warn!(
+                    relay:% = self.node;
+                    "send queue of the relay and event queue of the owner are full"
+                );
             }
         }
     }
 }
 
-/// Forwards each request, until one does not arrive or the client is gone.
+/// Sends queued requests to the relay until the client is dropped. Reports the relay as lost if it
+/// cannot be reached, or if a request is not accepted within `limit`.
 async fn forward(
     node: NodeName,
     addr: SocketAddr,
@@ -128,18 +137,18 @@
 ) {
     let lost = |why| Event::RelayLost(node.clone(), why);
     let Some(link) = PeerLink::connect(addr).await else {
-        let _ = events.send(lost("cannot be reached")).await;
+        let _ = events.send(lost("connection failed")).await;
         return;
     };
-    let lanes = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
+    let slots = Arc::new(Semaphore::new(MAX_IN_FLIGHT));
     while let Some(request) = queue.recv().await {
-        let Ok(lane) = lanes.clone().acquire_owned().await else {
+        let Ok(slot) = slots.clone().acquire_owned().await else {
             return;
         };
         let (link, events) = (link.clone(), events.clone());
-        let lost = lost("does not take its orders");
+        let lost = lost("orders were not accepted");
         tokio::spawn(async move {
-            let _lane = lane;
+            let _slot = slot;
             if link.submit(request, limit).await != Some(true) {
                 let _ = events.send(lost).await;
             }
