--- a/crates/cell/src/output.rs
+++ b/crates/cell/src/output.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cactuswheel_work::{
-    HoldOrder, JobId, PaceOrder, StartOrder, StepId, StopOrder, TaskId, WorkerId,
+    JobId, PaceOrder, PollOrder, StartOrder, StepId, StopOrder, TaskId, WorkerId,
 };
 
 use crate::Batch;
@@ -29,7 +29,7 @@
         /// Number of the poll, to be passed back with the answer.
         poll_number: u64,
         /// The order to send.
-        order: HoldOrder,
+        order: PollOrder,
     },
     /// Start a run. Answer: [`crate::Cell::start_answered`].
     Start {
--- a/crates/cell/src/pacing.rs
+++ b/crates/cell/src/pacing.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::Time;
-use cactuswheel_work::{PaceOrder, PlainOutcome, TaskId, WorkerId};
+use cactuswheel_work::{OrderOutcome, PaceOrder, TaskId, WorkerId};
 
 use crate::attempt::Phase;
 use crate::cell::Cell;
@@ -122,16 +122,16 @@
         now: Time,
         id: &WorkerId,
         order: &PaceOrder,
-        outcome: PlainOutcome,
+        outcome: OrderOutcome,
     ) {
         self.now = now;
-        if outcome == PlainOutcome::Done {
+        if outcome == OrderOutcome::Done {
             return;
         }
         if let Some(attempt) = self.attempt_mut(order.task, order.run, id) {
             attempt.pace = None;
         }
-        if outcome == PlainOutcome::Unknown {
+        if outcome == OrderOutcome::Unknown {
             self.fence_off(id, "throttle order not answered");
         }
     }
--- a/crates/cell/src/polls.rs
+++ b/crates/cell/src/polls.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use cactuswheel_model::Time;
-use cactuswheel_work::{HoldOrder, How, Look, LookError, StopOrder, TaskId, WorkerId};
+use cactuswheel_work::{
+    EndReason, PollError, PollOrder, StopOrder, TaskId, WorkerId, WorkerStatus,
+};
 
 use crate::attempt::Phase;
 use crate::cell::{Cell, POLL_RETRY};
@@ -79,7 +81,7 @@
             // would lose all their runs.
             let late = full && now.since(worker.last_alive) < RENEW_UNANSWERED;
             let responsive = worker.missed_polls == 0 || late;
-            let order = HoldOrder {
+            let order = PollOrder {
                 expiry: match renewing && responsive && !worker.is_spent() {
                     true => worker.renew(lease, now),
                     false => None,
@@ -107,7 +109,7 @@
         now: Time,
         id: &WorkerId,
         poll: u64,
-        answer: Result<Look, LookError>,
+        answer: Result<WorkerStatus, PollError>,
     ) {
         self.now = now;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -125,7 +127,7 @@
         }
     }
 
-    fn poll_failed(&mut self, id: &WorkerId, error: &LookError) {
+    fn poll_failed(&mut self, id: &WorkerId, error: &PollError) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -143,11 +145,11 @@
         };
         worker.poll_state = PollState::Due(now.after(pause.min(MAX_POLL_DELAY)));
         match error {
-            LookError::Fence => self.outputs.push(Output::Deposed {
+            PollError::Fence => self.outputs.push(Output::Deposed {
                 task: None,
                 worker: id.clone(),
             }),
-            LookError::OtherLife => {
+            PollError::OtherLife => {
                 worker.entry = None;
                 let runs = worker
                     .allocations
@@ -156,11 +158,11 @@
                     .collect();
                 self.worker_ended(id, runs, &[], "new incarnation at its address");
             }
-            LookError::Refused(_) | LookError::NotSent | LookError::Unknown(_) => {}
+            PollError::Refused(_) | PollError::NotSent | PollError::Unknown(_) => {}
         }
     }
 
-    fn apply_poll(&mut self, id: &WorkerId, sent: Time, look: Look) {
+    fn apply_poll(&mut self, id: &WorkerId, sent: Time, look: WorkerStatus) {
         let (now, lease) = (self.now, self.bounds.lease);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -190,7 +192,7 @@
         });
         let fence = worker.settle_fence();
         let seen_end = worker.seen_end;
-        let expired = look.ended.iter().filter(|e| e.how == How::Expired);
+        let expired = look.ended.iter().filter(|e| e.how == EndReason::Expired);
         worker.expired_end = expired.map(|e| e.number).max().unwrap_or_default();
         for end in look.ended.iter().filter(|e| e.number > seen_end) {
             self.apply_end(id, end);
@@ -215,7 +217,7 @@
     }
 
     /// Releases runs that the worker should list and does not.
-    fn release_absent(&mut self, id: &WorkerId, sent: Time, fence: u64, look: &Look) {
+    fn release_absent(&mut self, id: &WorkerId, sent: Time, fence: u64, look: &WorkerStatus) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -345,7 +345,7 @@
         let limit = self
             .shared
             .append_rtt
-            .limit()
+            .retry_timeout()
             .clamp(MIN_STORE_TIMEOUT, STORE_TIMEOUT);
         let limit = limit + page_time(settings.link);
         let done = store.append(OWNER, None, Some(self.end_offset), &records, limit);
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -8,7 +8,7 @@
 use cactuswheel_adapter::{HttpClient, WorkerClient};
 use cactuswheel_model::{Map, Time};
 use cactuswheel_rtt::RttEstimator;
-use cactuswheel_work::{HoldOrder, PaceOrder, StartOrder, StartOutcome, StopOrder, WorkerId};
+use cactuswheel_work::{PaceOrder, PollOrder, StartOrder, StartOutcome, StopOrder, WorkerId};
 use tokio::sync::Semaphore;
 use tokio::task::AbortHandle;
 use tokio_util::task::TaskTracker;
@@ -170,10 +170,10 @@
     }
 
     /// Sends a poll in place of the poll in flight, which is cancelled.
-    fn poll(&mut self, worker: WorkerId, addr: SocketAddr, number: u64, order: HoldOrder) {
+    fn poll(&mut self, worker: WorkerId, addr: SocketAddr, number: u64, order: PollOrder) {
         let sink = self.sink.clone();
         let queued = self.shared.settings.link.queue_time();
-        let limit = (self.start_rtt.limit() + queued).min(POLL_TIMEOUT);
+        let limit = (self.start_rtt.retry_timeout() + queued).min(POLL_TIMEOUT);
         let conn = self.conn(&worker, addr);
         conn.fence.fetch_max(order.fence, Ordering::AcqRel);
         if let Some(before) = conn.poll.take() {
@@ -264,10 +264,10 @@
     start_rtt: &RttEstimator,
 ) -> StartOutcome {
     let sent = Instant::now();
-    let outcome = orders.start(order, start_rtt.limit()).await;
+    let outcome = orders.start(order, start_rtt.retry_timeout()).await;
     match outcome {
-        StartOutcome::Started | StartOutcome::Refused(_) => start_rtt.answered(sent.elapsed()),
-        StartOutcome::Unknown => start_rtt.overdue(),
+        StartOutcome::Started | StartOutcome::Refused(_) => start_rtt.record_answer(sent.elapsed()),
+        StartOutcome::Unknown => start_rtt.record_timeout(),
         StartOutcome::NotSent => {}
     }
     outcome
--- a/crates/node/src/relay_request.rs
+++ b/crates/node/src/relay_request.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use cactuswheel_model::{Map, Time};
-use cactuswheel_relay::{SeenLook, SpecCache, SpecDigest};
+use cactuswheel_relay::{PollDelta, SpecCache, SpecDigest};
 use cactuswheel_work::{
-    HoldOrder, JobId, Look, LookError, NodeName, PaceOrder, PlainOutcome, StartOrder, StartOutcome,
-    StopOrder, TaskId, WorkerId,
+    JobId, NodeName, OrderOutcome, PaceOrder, PollError, PollOrder, StartOrder, StartOutcome,
+    StopOrder, TaskId, WorkerId, WorkerStatus,
 };
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
     /// Renew the worker's lease and poll its status, in place of any earlier poll in flight. The
     /// number identifies the poll.
     #[serde(rename = "Look")]
-    Poll(u64, HoldOrder),
+    Poll(u64, PollOrder),
     /// Start a run.
     Start(StartOrder),
     /// Stop a run.
@@ -39,14 +39,14 @@
 pub(crate) enum Report {
     /// The outcome of the poll with this number.
     #[serde(rename = "Looked")]
-    Polled(WorkerId, u64, Result<Look, LookError>),
+    Polled(WorkerId, u64, Result<WorkerStatus, PollError>),
     /// The outcome of a poll as sent by a relay, as a delta to an earlier one.
     #[serde(rename = "Seen")]
-    Delta(WorkerId, u64, SeenLook),
+    Delta(WorkerId, u64, PollDelta),
     /// The outcome of a start order.
     Started(WorkerId, TaskId, u32, StartOutcome),
     /// The outcome of a throttle order.
-    Paced(WorkerId, PaceOrder, PlainOutcome),
+    Paced(WorkerId, PaceOrder, OrderOutcome),
 }
 
 /// A message with orders for one relay.
--- a/crates/node/src/relay_server.rs
+++ b/crates/node/src/relay_server.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::{Map, Time};
-use cactuswheel_relay::{Capacity, Offer, Reply, SpecDigest, Told};
+use cactuswheel_relay::{Capacity, DeltaEncoder, Offer, Reply, SpecDigest};
 use rand::Rng;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -200,7 +200,7 @@
 ) {
     let limit = OWNER_TIMEOUT + shared.settings.link.queue_time();
     let mut link = None;
-    let mut folded = Told::default();
+    let mut folded = DeltaEncoder::default();
     while let Some(first) = queue.recv().await {
         let mut size = first.size();
         let mut reports = vec![fold_poll(&shared, &mut folded, first)];
@@ -238,10 +238,10 @@
 }
 
 /// Reduces a poll result to a delta to what the owner was sent before.
-fn fold_poll(shared: &Shared, folded: &mut Told, report: Report) -> Report {
+fn fold_poll(shared: &Shared, folded: &mut DeltaEncoder, report: Report) -> Report {
     match report {
         Report::Polled(worker, number, Ok(look)) => {
-            let seen = folded.fold(shared.clock.now(), &worker, number, look);
+            let seen = folded.encode(shared.clock.now(), &worker, number, look);
             Report::Delta(worker, number, seen)
         }
         other => other,
--- a/crates/work/src/lib.rs
+++ b/crates/work/src/lib.rs
@@ -1,21 +1,20 @@
-//! The vocabulary of work on a platform's workers: jobs of several steps, the tasks of a step,
-//! queues, teams with caps, workers and what they say of themselves, instances and pools.
+//! Data types for work on a platform's workers: jobs and their steps and tasks, queues, teams and
+//! their caps, workers and their status, orders, instances and pools.
 //!
-//! Plain data only: no I/O, no clock, no decisions. The platform's names never appear here; the
-//! adapter translates them.
+//! The types are plain data: no I/O, no clock, no decisions. The platform's own terms do not appear
+//! here; the adapter translates them.
 
 mod advice;
 mod end;
 mod fleet_config;
-mod hold_order;
 mod instance;
 mod instance_order;
 mod job_id;
 mod job_state;
-mod look;
 mod name;
+mod order_outcome;
 mod pace_order;
-mod plain_outcome;
+mod poll_order;
 mod queue;
 mod room;
 mod service;
@@ -28,19 +27,19 @@
 mod team_weight;
 mod wave;
 mod worker;
+mod worker_status;
 
 pub use advice::Advice;
-pub use end::{End, How};
-pub use fleet_config::{BodyLimits, FleetConfig};
-pub use hold_order::{HoldOrder, LookError};
+pub use end::{End, EndReason};
+pub use fleet_config::{FleetConfig, RequestLimits};
 pub use instance::{Instance, InstanceState};
 pub use instance_order::{InstanceOrder, InstanceOutcome, OrderToken};
 pub use job_id::{JobId, ParseJobIdError};
 pub use job_state::JobState;
-pub use look::{Look, Running};
 pub use name::{InstanceName, NodeName, QueueName, ServiceName, TeamName, WorkerId, ZoneName};
+pub use order_outcome::OrderOutcome;
 pub use pace_order::PaceOrder;
-pub use plain_outcome::PlainOutcome;
+pub use poll_order::{PollError, PollOrder};
 pub use queue::Queue;
 pub use room::Room;
 pub use service::Service;
@@ -53,3 +52,4 @@
 pub use team_weight::{ParseTeamWeightError, TeamWeight};
 pub use wave::Wave;
 pub use worker::{Presence, WorkerEntry};
+pub use worker_status::{Running, WorkerStatus};
