--- a/crates/admission/src/holder.rs
+++ b/crates/admission/src/holder.rs
@@ -1,6 +1,6 @@
 //! An entry's life as a holder of units of teams' limits.
 
-use cactuswheel_fleet::{Allotments, Life, Row};
+use cactuswheel_fleet::{AllotmentRow, Allotments, Life};
 use cactuswheel_model::{
     Code, DcId, Holding, LifeId, Map, Offset, Refusal, TeamId, Time, Timing, Usage,
 };
@@ -296,7 +296,7 @@
     }
 
     /// What the log should know of a team, if it differs enough to be worth a record.
-    fn news(&mut self, team: &TeamId, row: &Row) -> Option<Usage> {
+    fn news(&mut self, team: &TeamId, row: &AllotmentRow) -> Option<Usage> {
         let used = self.gate.used(team);
         let want = round_up(self.gate.demand(team).max(used));
         let freed = row.occupied > row.cap.max(used);
--- a/crates/assignment/src/snapshot.rs
+++ b/crates/assignment/src/snapshot.rs
@@ -40,7 +40,7 @@
         let next = dcs.len();
         let dc = *dcs.entry(&instance.dc).or_insert(next);
         let placed = state.jobs().worker(&instance.id).map_or(0, |w| w.placed);
-        let stage = state.disruptions().hold(&instance.id).map(|h| &h.stage);
+        let stage = state.disruptions().outage(&instance.id).map(|h| &h.stage);
         // What drains for a move counts where it goes, so that no other is moved in its place.
         let pool = match stage {
             Some(Stage::Draining(Purpose::Move { to, .. })) => to,
--- a/crates/daemon/src/admin/allotments.rs
+++ b/crates/daemon/src/admin/allotments.rs
@@ -1,6 +1,6 @@
 //! Who holds how much of each team's limit.
 
-use cactuswheel_fleet::{Row, Split, State};
+use cactuswheel_fleet::{AllotmentRow, Split, State};
 use cactuswheel_model::{LifeId, TeamId};
 use serde::Serialize;
 
@@ -21,7 +21,7 @@
 struct EntryRow<'a> {
     life: &'a LifeId,
     #[serde(flatten)]
-    row: &'a Row,
+    row: &'a AllotmentRow,
 }
 
 /// All teams' splits.
--- a/crates/daemon/src/admin/instances.rs
+++ b/crates/daemon/src/admin/instances.rs
@@ -36,7 +36,7 @@
             addr: sighting.map(|s| s.addr),
             outage: state
                 .disruptions()
-                .hold(&described.id)
+                .outage(&described.id)
                 .map(|h| stage(&h.stage)),
         }
     })
--- a/crates/daemon/src/admin/maintenance.rs
+++ b/crates/daemon/src/admin/maintenance.rs
@@ -1,6 +1,6 @@
 //! Maintenance waves for operators.
 
-use cactuswheel_fleet::{Hold, State};
+use cactuswheel_fleet::{Outage, State};
 use cactuswheel_http::{Reply, json, read_json};
 use cactuswheel_model::{Code, DcId, OperatorId, Record, Refusal, Wave, WaveNo};
 use hyper::body::Incoming;
@@ -36,7 +36,7 @@
     /// Instances that had their turn in the newest wave.
     done: usize,
     total: usize,
-    outages: Vec<&'a Hold>,
+    outages: Vec<&'a Outage>,
     /// Why no more outages start.
     waits: &'a [String],
 }
@@ -50,7 +50,7 @@
         wave: disruptions.wave(),
         done: total - left(&state),
         total,
-        outages: disruptions.holds().collect(),
+        outages: disruptions.outages().collect(),
         waits: &shared.waits.load(),
     };
     json(StatusCode::OK, &shown)
@@ -121,6 +121,6 @@
     let newest = disruptions.wave().map(|w| w.number);
     let instances = state.config().instances.values();
     instances
-        .filter(|i| newest.is_none() || disruptions.turn(&i.id) < newest)
+        .filter(|i| newest.is_none() || disruptions.last_wave(&i.id) < newest)
         .count()
 }
--- a/crates/daemon/src/admin/plan.rs
+++ b/crates/daemon/src/admin/plan.rs
@@ -45,7 +45,7 @@
     propose(shared, &Record::Moves(wanted.clone())).await?;
     let state = shared.state.load();
     // Drivers may have carried some out already; another list holds others.
-    let wishes = state.disruptions().wishes();
+    let wishes = state.disruptions().wanted_moves();
     if wishes.iter().any(|w| !wanted.moves.contains(w)) {
         let detail = "another list of moves holds";
         return Err(Refusal::new(Code::GrantStale).with_detail(detail));
@@ -72,7 +72,7 @@
     let disruptions = state.disruptions();
     let config = state.config();
     let wait = |wish: &WantedMove| {
-        if let Some(hold) = disruptions.hold(&wish.instance) {
+        if let Some(hold) = disruptions.outage(&wish.instance) {
             return format!("{:?} since record {}", hold.stage, hold.fence);
         }
         let leaving = disruptions.check_leaving(&wish.instance, &wish.from, config);
@@ -85,7 +85,7 @@
             false => budget.describe(&wish.from),
         }
     };
-    let wanted = disruptions.wishes();
+    let wanted = disruptions.wanted_moves();
     let shown = Shown {
         plan: made,
         wanted,
--- a/crates/daemon/src/basis.rs
+++ b/crates/daemon/src/basis.rs
@@ -25,8 +25,8 @@
 
     /// Whether routes built from either are the same.
     pub(crate) fn is_same(&self, other: &Self) -> bool {
-        self.instances.is_same(&other.instances)
-            && self.dcs.is_same(&other.dcs)
+        self.instances.ptr_eq(&other.instances)
+            && self.dcs.ptr_eq(&other.dcs)
             && self.drained == other.drained
     }
 }
--- a/crates/daemon/src/intake.rs
+++ b/crates/daemon/src/intake.rs
@@ -33,7 +33,7 @@
     pub(crate) fn adopt(&self, state: State) -> bool {
         let taken = {
             let mut replica = self.replica();
-            let taken = replica.adopt(state);
+            let taken = replica.install(state);
             self.publish(&replica);
             taken
         };
@@ -45,7 +45,7 @@
 
     /// Notes the head that the log told.
     pub(crate) fn hear_head(&self, head: Offset) {
-        self.replica().hear(head);
+        self.replica().note_head(head);
     }
 
     /// Whether the state holds all that the log and the peers heard of hold.
--- a/crates/daemon/src/jobs/answer.rs
+++ b/crates/daemon/src/jobs/answer.rs
@@ -144,7 +144,7 @@
         phase: phase(job),
         attempt: job.attempt,
         worker,
-        checkpoint: job.mark.as_deref(),
+        checkpoint: job.checkpoint.as_deref(),
         failed: &job.failed,
         lost: job.lost,
         cancel: job.cancel,
--- a/crates/daemon/src/jobs/driver.rs
+++ b/crates/daemon/src/jobs/driver.rs
@@ -71,7 +71,7 @@
 
     async fn take_reports(&mut self) {
         let state = self.shared.state.load_full();
-        let from = state.jobs().reports();
+        let from = state.jobs().next_report();
         let read = self
             .shared
             .platform
--- a/crates/daemon/src/jobs/workers.rs
+++ b/crates/daemon/src/jobs/workers.rs
@@ -51,7 +51,7 @@
                 incarnation: *incarnation,
                 room: *room,
                 payload: job.spec.payload.clone(),
-                mark: job.mark.clone(),
+                mark: job.checkpoint.clone(),
                 lease: LEASE,
             })
         });
--- a/crates/daemon/src/metrics/meters.rs
+++ b/crates/daemon/src/metrics/meters.rs
@@ -96,7 +96,7 @@
     );
     let lag = |s: &Shared| {
         let next = s.state.load().next().get();
-        s.replica().known().get().saturating_sub(next) as f64
+        s.replica().known_head().get().saturating_sub(next) as f64
     };
     gauge(
         meter,
--- a/crates/daemon/src/snapshots.rs
+++ b/crates/daemon/src/snapshots.rs
@@ -155,10 +155,10 @@
         };
         from = last.offset.next();
         for entry in &batch.entries {
-            if let Err(e) = assembler.take(&entry.body) {
+            if let Err(e) = assembler.add_part(&entry.body) {
                 log::warn!("record {} of the snapshots: {e}", entry.offset);
             }
         }
     }
-    Ok(assembler.into_best())
+    Ok(assembler.into_newest())
 }
--- a/crates/fleet/src/allotments.rs
+++ b/crates/fleet/src/allotments.rs
@@ -14,7 +14,7 @@
 use crate::Table;
 
 pub use life::Life;
-pub use row::Row;
+pub use row::AllotmentRow;
 pub use split::Split;
 
 /// Who may run how much for which team.
@@ -55,7 +55,7 @@
     }
 
     /// What a life may run for a team.
-    pub fn row(&self, team: &TeamId, life: &LifeId) -> Option<&Row> {
+    pub fn row(&self, team: &TeamId, life: &LifeId) -> Option<&AllotmentRow> {
         self.split(team)?.row(life)
     }
 
@@ -86,17 +86,17 @@
         };
         split.set_limit(limit);
         for (id, life) in self.lives.iter() {
-            split.admit(id, life.is_open());
+            split.set_open(id, life.is_open());
         }
-        split.settle(at);
-        self.put(team, split);
+        split.rebalance(at);
+        self.store_split(team, split);
     }
 
     /// Keeps a split; one without limit and without occupied units is dropped.
     ///
     /// A removed team may come back under its name while its work still runs, so its rows have
     /// to outlive it.
-    fn put(&mut self, team: &TeamId, split: Split) {
+    fn store_split(&mut self, team: &TeamId, split: Split) {
         if split.limit() == 0 && split.occupied() == 0 {
             self.teams.remove(team);
             return;
@@ -115,11 +115,11 @@
             .map(|(other, _)| other.clone())
             .collect();
         for life in &earlier {
-            self.replace(at, life);
+            self.revoke_replaced(at, life);
         }
         let life = Life::new(dc.clone(), timing, at);
         self.lives.insert(id.clone(), life);
-        self.each_split(at, |split| split.admit(id, true));
+        self.update_splits(at, |split| split.set_open(id, true));
         true
     }
 
@@ -133,7 +133,7 @@
                 continue;
             };
             if split.report(life, usage) {
-                split.settle(at);
+                split.rebalance(at);
                 changed = true;
             }
             if split.limit() == 0 && split.occupied() == 0 {
@@ -148,7 +148,7 @@
             return false;
         };
         life.revoke(at);
-        self.each_split(at, |split| split.admit(id, false));
+        self.update_splits(at, |split| split.set_open(id, false));
         true
     }
 
@@ -158,23 +158,23 @@
     /// nobody renews it: no word of its own is waited for. What it renewed before runs out by
     /// the others' clocks, which start anew. Without this, entries of a data centre that are
     /// all killed at once wait for each other's word until `cut` is over.
-    fn replace(&mut self, at: Offset, id: &LifeId) {
+    fn revoke_replaced(&mut self, at: Offset, id: &LifeId) {
         self.revoke(at, id);
         if let Some(life) = self.lives.get_mut(id) {
             life.replaced = true;
         }
         let dc = self.life(id).map(|l| l.dc.clone());
-        self.wait_anew(at, dc.as_ref());
+        self.restart_waits(at, dc.as_ref());
     }
 
     /// Makes the witnesses of all revoked lives of a data centre count anew.
-    fn wait_anew(&mut self, at: Offset, dc: Option<&DcId>) {
+    fn restart_waits(&mut self, at: Offset, dc: Option<&DcId>) {
         let revoked = |l: &Life| !l.is_open() && Some(&l.dc) == dc;
         let left: Vec<_> = self.lives().filter(|(_, l)| revoked(l)).collect();
         let left: Vec<_> = left.into_iter().map(|(other, _)| other.clone()).collect();
         for other in &left {
             if let Some(life) = self.lives.get_mut(other) {
-                life.revoke_anew(at);
+                life.restart_wait(at);
             }
         }
     }
@@ -224,9 +224,9 @@
         let dc = self.life(id).filter(|l| !l.replaced).map(|l| l.dc.clone());
         self.lives.remove(id);
         if dc.is_some() {
-            self.wait_anew(at, dc.as_ref());
+            self.restart_waits(at, dc.as_ref());
         }
-        self.each_split(at, |split| split.release(id));
+        self.update_splits(at, |split| split.remove_row(id));
         true
     }
 
@@ -237,7 +237,7 @@
         life != by && one.dc == other.dc
     }
 
-    fn each_split(&mut self, at: Offset, change: impl Fn(&mut Split)) {
+    fn update_splits(&mut self, at: Offset, change: impl Fn(&mut Split)) {
         let teams: Vec<_> = self.teams.iter().map(|(team, _)| team.clone()).collect();
         for team in teams {
             let Some(split) = self.teams.get(&team) else {
@@ -245,8 +245,8 @@
             };
             let mut split = split.as_ref().clone();
             change(&mut split);
-            split.settle(at);
-            self.put(&team, split);
+            split.rebalance(at);
+            self.store_split(&team, split);
         }
     }
 }
--- a/crates/fleet/src/allotments/life.rs
+++ b/crates/fleet/src/allotments/life.rs
@@ -61,7 +61,7 @@
     }
 
     /// Makes all witnesses count their time again, from `at` on.
-    pub(crate) fn revoke_anew(&mut self, at: Offset) {
+    pub(crate) fn restart_wait(&mut self, at: Offset) {
         self.since = at;
         self.witnesses.clear();
     }
--- a/crates/fleet/src/allotments/row.rs
+++ b/crates/fleet/src/allotments/row.rs
@@ -5,7 +5,7 @@
 
 /// Units of a team at one life.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct AllotmentRow {
     /// It starts work only while fewer units than this are in use there.
     pub cap: u32,
     /// Units that may be in use there.
@@ -20,7 +20,7 @@
     pub open: bool,
 }
 
-impl Row {
+impl AllotmentRow {
     /// Takes a report; whether it is news.
     ///
     /// Failure: a report written before a raise arrives after it and frees units that the life
--- a/crates/fleet/src/allotments/split.rs
+++ b/crates/fleet/src/allotments/split.rs
@@ -5,7 +5,7 @@
 use cactuswheel_model::{LifeId, Offset, Usage};
 use serde::{Deserialize, Serialize};
 
-use super::Row;
+use super::AllotmentRow;
 
 /// A team's limit and who holds how much of it.
 ///
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Split {
     limit: u32,
-    rows: BTreeMap<LifeId, Row>,
+    rows: BTreeMap<LifeId, AllotmentRow>,
 }
 
 impl Split {
@@ -24,12 +24,12 @@
     }
 
     /// One life's part.
-    pub fn row(&self, life: &LifeId) -> Option<&Row> {
+    pub fn row(&self, life: &LifeId) -> Option<&AllotmentRow> {
         self.rows.get(life)
     }
 
     /// All parts.
-    pub fn rows(&self) -> impl Iterator<Item = (&LifeId, &Row)> {
+    pub fn rows(&self) -> impl Iterator<Item = (&LifeId, &AllotmentRow)> {
         self.rows.iter()
     }
 
@@ -47,11 +47,11 @@
         self.limit = limit;
     }
 
-    pub(crate) fn admit(&mut self, life: &LifeId, open: bool) {
+    pub(crate) fn set_open(&mut self, life: &LifeId, open: bool) {
         self.rows.entry(life.clone()).or_default().open = open;
     }
 
-    pub(crate) fn release(&mut self, life: &LifeId) {
+    pub(crate) fn remove_row(&mut self, life: &LifeId) {
         self.rows.remove(life);
     }
 
@@ -60,16 +60,16 @@
     }
 
     /// Moves units to where they are wanted, as far as that is safe at once.
-    pub(crate) fn settle(&mut self, at: Offset) {
-        let most = self.available();
-        let wants = self.wants(most);
+    pub(crate) fn rebalance(&mut self, at: Offset) {
+        let total = self.available();
+        let wants = self.wants(total);
         let open: Vec<bool> = self.rows.values().map(|r| r.open).collect();
-        let goals = goals(most, &wants, &open);
+        let shares = fair_shares(total, &wants, &open);
         let mut next: Vec<u32> = self.rows.values().map(|r| r.cap).collect();
         let closed = open.iter().zip(&mut next).filter(|(open, _)| !**open);
         closed.for_each(|(_, cap)| *cap = 0);
-        lower(most, &mut next, &goals, &wants);
-        self.raise(most, &mut next, &goals, &wants);
+        lower(total, &mut next, &shares, &wants);
+        self.raise(total, &mut next, &shares, &wants);
         for (row, cap) in self.rows.values_mut().zip(next) {
             row.set_cap(cap, at);
         }
@@ -85,19 +85,19 @@
 
     /// What each life could use, and never less than half an even part, so that a burst at an
     /// idle entry finds units there before a record has gone round; nothing for closed ones.
-    fn wants(&self, most: u32) -> Vec<u32> {
+    fn wants(&self, total: u32) -> Vec<u32> {
         let open = self.rows.values().filter(|r| r.open).count() as u32;
-        let least = most.checked_div(2 * open).unwrap_or(0);
-        let want = |r: &Row| if r.open { r.want.max(least) } else { 0 };
+        let least = total.checked_div(2 * open).unwrap_or(0);
+        let want = |r: &AllotmentRow| if r.open { r.want.max(least) } else { 0 };
         self.rows.values().map(want).collect()
     }
 
     /// Gives out what nobody may be using, first to where it is wanted.
-    fn raise(&self, most: u32, next: &mut [u32], goals: &[u32], wants: &[u32]) {
+    fn raise(&self, total: u32, next: &mut [u32], shares: &[u32], wants: &[u32]) {
         let mut free = self.limit.saturating_sub(self.occupied());
-        let mut room = most.saturating_sub(next.iter().sum());
-        let wanted: Vec<u32> = goals.iter().zip(wants).map(|(g, w)| *g.min(w)).collect();
-        for targets in [wanted.as_slice(), goals] {
+        let mut room = total.saturating_sub(next.iter().sum());
+        let wanted: Vec<u32> = shares.iter().zip(wants).map(|(g, w)| *g.min(w)).collect();
+        for targets in [wanted.as_slice(), shares] {
             for (i, row) in self.rows.values().enumerate() {
                 // Up to what is occupied there anyway, a raise takes nothing from the others.
                 let bound = row.occupied.max(next[i]) + free;
@@ -113,37 +113,37 @@
 
 /// Takes units from lives above their goal, as many as are wanted elsewhere and no more:
 /// each step down costs its life a confirmation in the log.
-fn lower(most: u32, next: &mut [u32], goals: &[u32], wants: &[u32]) {
+fn lower(total: u32, next: &mut [u32], shares: &[u32], wants: &[u32]) {
     let sum: u32 = next.iter().sum();
     let short = |((n, g), w): ((&u32, &u32), &u32)| (*g).min(*w).saturating_sub(*n);
-    let wanted: u32 = next.iter().zip(goals).zip(wants).map(short).sum();
-    let spare = most.saturating_sub(sum);
-    let mut need = wanted.saturating_sub(spare) + sum.saturating_sub(most);
-    let mut givers: Vec<usize> = (0..next.len()).collect();
-    givers.sort_by_key(|&i| std::cmp::Reverse(next[i].saturating_sub(goals[i])));
-    for i in givers {
-        let give = next[i].saturating_sub(goals[i]).min(need);
-        next[i] -= give;
-        need -= give;
+    let wanted: u32 = next.iter().zip(shares).zip(wants).map(short).sum();
+    let spare = total.saturating_sub(sum);
+    let mut need = wanted.saturating_sub(spare) + sum.saturating_sub(total);
+    let mut donors: Vec<usize> = (0..next.len()).collect();
+    donors.sort_by_key(|&i| std::cmp::Reverse(next[i].saturating_sub(shares[i])));
+    for i in donors {
+        let reduction = next[i].saturating_sub(shares[i]).min(need);
+        next[i] -= reduction;
+        need -= reduction;
     }
 }
 
 /// Max-min fair parts of `limit` by `wants`; what nobody wants is spread evenly over the open.
-fn goals(limit: u32, wants: &[u32], open: &[bool]) -> Vec<u32> {
-    let mut goals = vec![0; wants.len()];
+fn fair_shares(limit: u32, wants: &[u32], open: &[bool]) -> Vec<u32> {
+    let mut shares = vec![0; wants.len()];
     let mut order: Vec<usize> = (0..wants.len()).collect();
     order.sort_by_key(|&i| wants[i]);
     let mut left = limit;
     for (done, &i) in order.iter().enumerate() {
-        goals[i] = wants[i].min(left / (wants.len() - done) as u32);
-        left -= goals[i];
+        shares[i] = wants[i].min(left / (wants.len() - done) as u32);
+        left -= shares[i];
     }
     let mut rest = open.iter().filter(|o| **o).count() as u32;
-    for i in (0..goals.len()).filter(|&i| open[i]) {
+    for i in (0..shares.len()).filter(|&i| open[i]) {
         let more = left.div_ceil(rest);
-        goals[i] += more;
+        shares[i] += more;
         left -= more;
         rest -= 1;
     }
-    goals
+    shares
 }
--- a/crates/fleet/src/assembler.rs
+++ b/crates/fleet/src/assembler.rs
@@ -4,11 +4,11 @@
 
 use cactuswheel_model::{Digest, Offset};
 
-use crate::snapshot_part::split;
+use crate::snapshot_part::decode;
 use crate::{Snapshot, SnapshotError};
 
 /// Most snapshots that are incomplete at the same time.
-const MAX_OPEN: usize = 4;
+const MAX_INCOMPLETE: usize = 4;
 
 /// Takes parts in any order, from any number of writers, any number of times, and keeps the
 /// complete snapshot with the highest head.
@@ -18,52 +18,56 @@
 /// late from a paused writer belongs to an older head and changes nothing.
 #[derive(Debug, Default)]
 pub struct Assembler {
-    best: Option<Snapshot>,
+    newest: Option<Snapshot>,
     /// Texts of snapshots that are not complete yet, by part.
     ///
-    /// Invariant: at most `MAX_OPEN`, the ones with the highest heads.
-    open: BTreeMap<(Offset, Digest), BTreeMap<u32, String>>,
+    /// Invariant: at most `MAX_INCOMPLETE`, the ones with the highest heads.
+    incomplete: BTreeMap<(Offset, Digest), BTreeMap<u32, String>>,
 }
 
 impl Assembler {
     /// The complete snapshot with the highest head.
-    pub fn best(&self) -> Option<&Snapshot> {
-        self.best.as_ref()
+    pub fn newest(&self) -> Option<&Snapshot> {
+        self.newest.as_ref()
     }
 
     /// The complete snapshot with the highest head.
-    pub fn into_best(self) -> Option<Snapshot> {
-        self.best
+    pub fn into_newest(self) -> Option<Snapshot> {
+        self.newest
     }
 
     /// Takes a record of the stream of snapshots.
-    pub fn take(&mut self, body: &str) -> Result<(), SnapshotError> {
-        let (header, text) = split(body)?;
+    pub fn add_part(&mut self, body: &str) -> Result<(), SnapshotError> {
+        let (header, text) = decode(body)?;
         let head = header.mark.head;
-        if self.best.as_ref().is_some_and(|best| best.head() >= head) {
+        if self
+            .newest
+            .as_ref()
+            .is_some_and(|newest| newest.head() >= head)
+        {
             return Ok(());
         }
         let key = (head, header.mark.digest);
-        let parts = self.open.entry(key).or_default();
+        let parts = self.incomplete.entry(key).or_default();
         parts.insert(header.part, text.to_owned());
         if parts.len() == header.parts as usize {
             return self.complete(key);
         }
-        if self.open.len() > MAX_OPEN {
-            self.open.pop_first();
+        if self.incomplete.len() > MAX_INCOMPLETE {
+            self.incomplete.pop_first();
         }
         Ok(())
     }
 
     fn complete(&mut self, key: (Offset, Digest)) -> Result<(), SnapshotError> {
         let (head, digest) = key;
-        let parts = self.open.remove(&key).unwrap_or_default();
+        let parts = self.incomplete.remove(&key).unwrap_or_default();
         let text: String = parts.into_values().collect();
         if Digest::of(text.as_bytes()) != digest {
             return Err(SnapshotError::Digest);
         }
-        self.best = Some(Snapshot::from_text(head, text));
-        self.open.retain(|(open, _), _| *open > head);
+        self.newest = Some(Snapshot::from_text(head, text));
+        self.incomplete.retain(|(other, _), _| *other > head);
         Ok(())
     }
 }
--- a/crates/fleet/src/denials.rs
+++ b/crates/fleet/src/denials.rs
@@ -6,14 +6,14 @@
 use crate::Table;
 
 /// Denials kept; more than keys are withdrawn in years.
-const KEPT: usize = 100_000;
+const MAX_DENIALS: usize = 100_000;
 
 /// Who withdrew which key.
 ///
 /// Never undone: a key that is granted after it was denied stays denied.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Denials {
-    /// Invariant: at most `KEPT` rows.
+    /// Invariant: at most `MAX_DENIALS` rows.
     rows: Table<Digest, OperatorId>,
 }
 
@@ -25,7 +25,7 @@
 
     /// Notes a withdrawal; whether it is news.
     pub(crate) fn insert(&mut self, denial: &Denial) -> bool {
-        if self.contains(&denial.digest) || self.rows.len() >= KEPT {
+        if self.contains(&denial.digest) || self.rows.len() >= MAX_DENIALS {
             return false;
         }
         self.rows.insert(denial.digest, denial.by.clone());
--- a/crates/fleet/src/disruptions.rs
+++ b/crates/fleet/src/disruptions.rs
@@ -5,8 +5,8 @@
 //! the action, and act after any time.
 
 mod budget;
-mod hold;
 mod moves;
+mod outage;
 mod room;
 mod steps;
 mod tickets;
@@ -18,7 +18,7 @@
 use crate::{Config, Table};
 
 pub use budget::Budget;
-pub use hold::{Hold, Stage};
+pub use outage::{Outage, Stage};
 
 /// Every outage that is under way.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,15 +26,18 @@
     /// Instances that are unavailable or about to be.
     ///
     /// Invariant: every one is in the configuration.
-    holds: Table<InstanceId, Hold>,
+    #[serde(rename = "holds")]
+    outages: Table<InstanceId, Outage>,
     /// Newest incarnation that a record told of.
     ///
     /// Invariant: never goes back while the instance is in the configuration.
-    lives: Table<InstanceId, Incarnation>,
+    #[serde(rename = "lives")]
+    incarnations: Table<InstanceId, Incarnation>,
     /// The newest wave.
     wave: Option<Wave>,
     /// The wave in which an instance last had its turn.
-    turns: Table<InstanceId, WaveNo>,
+    #[serde(rename = "turns")]
+    last_waves: Table<InstanceId, WaveNo>,
     /// The record that last gave back a grant because the instance was busy, until it had its
     /// turn.
     deferred: Table<InstanceId, Offset>,
@@ -42,36 +45,40 @@
     ///
     /// Invariant: no instance twice, each in the pool that it is to leave.
     #[serde(default)]
-    wishes: Vec<WantedMove>,
+    #[serde(rename = "wishes")]
+    wanted_moves: Vec<WantedMove>,
 }
 
 impl Disruptions {
     /// Outages under way, in order of the instances' names.
-    pub fn holds(&self) -> impl Iterator<Item = &Hold> {
-        self.holds.values().map(|hold| &**hold)
+    pub fn outages(&self) -> impl Iterator<Item = &Outage> {
+        self.outages.values().map(|outage| &**outage)
     }
 
     /// The outage of an instance.
-    pub fn hold(&self, instance: &InstanceId) -> Option<&Hold> {
-        self.holds.get(instance).map(|hold| &**hold)
+    pub fn outage(&self, instance: &InstanceId) -> Option<&Outage> {
+        self.outages.get(instance).map(|outage| &**outage)
     }
 
     /// Newest incarnation of an instance that a record told of.
-    pub fn life(&self, instance: &InstanceId) -> Incarnation {
-        self.lives.get(instance).map(|n| **n).unwrap_or_default()
+    pub fn last_incarnation(&self, instance: &InstanceId) -> Incarnation {
+        self.incarnations
+            .get(instance)
+            .map(|n| **n)
+            .unwrap_or_default()
     }
 
     /// Whether an instance is to get no new work because of a planned outage.
     ///
     /// A loss does not count: whether a lost instance can be reached is for the roster to say.
     pub fn is_drained(&self, instance: &InstanceId) -> bool {
-        self.hold(instance)
-            .is_some_and(|hold| hold.stage != Stage::Lost)
+        self.outage(instance)
+            .is_some_and(|outage| outage.stage != Stage::Lost)
     }
 
     /// All instances that are to get no new work because of a planned outage.
     pub fn drained(&self) -> impl Iterator<Item = &InstanceId> {
-        let planned = self.holds.iter().filter(|(_, h)| h.stage != Stage::Lost);
+        let planned = self.outages.iter().filter(|(_, h)| h.stage != Stage::Lost);
         planned.map(|(id, _)| id)
     }
 
@@ -96,7 +103,7 @@
     }
 
     /// The wave in which an instance last had its turn.
-    pub fn turn(&self, instance: &InstanceId) -> Option<WaveNo> {
-        self.turns.get(instance).map(|n| **n)
+    pub fn last_wave(&self, instance: &InstanceId) -> Option<WaveNo> {
+        self.last_waves.get(instance).map(|n| **n)
     }
 }
--- a/crates/fleet/src/disruptions/budget.rs
+++ b/crates/fleet/src/disruptions/budget.rs
@@ -3,7 +3,7 @@
 use cactuswheel_model::{Map, PoolId, Service, ServiceId};
 use serde::{Deserialize, Serialize};
 
-use super::{Disruptions, Hold};
+use super::{Disruptions, Outage};
 use crate::Config;
 
 /// The strictest disruption budget over a pool, and its use.
@@ -23,14 +23,14 @@
     /// Counts over one pool.
     pub(super) fn of(pool: &PoolId, config: &Config, disruptions: &Disruptions) -> Self {
         let mut budget = Self::new(config.pool_size(pool) as u32);
-        for hold in disruptions.holds() {
-            let instance = config.instances.get(&hold.instance);
+        for outage in disruptions.outages() {
+            let instance = config.instances.get(&outage.instance);
             if instance.is_some_and(|i| i.pool == *pool) {
-                budget.count(hold);
+                budget.add_outage(outage);
             }
         }
         for service in config.services.values().filter(|s| s.pool == *pool) {
-            budget.bind(service);
+            budget.apply_limit(service);
         }
         budget
     }
@@ -44,15 +44,15 @@
                 None => drop(budgets.insert(instance.pool.clone(), Self::new(1))),
             }
         }
-        for hold in disruptions.holds() {
-            let pool = config.instances.get(&hold.instance).map(|i| &i.pool);
+        for outage in disruptions.outages() {
+            let pool = config.instances.get(&outage.instance).map(|i| &i.pool);
             if let Some(budget) = pool.and_then(|pool| budgets.get_mut(pool)) {
-                budget.count(hold);
+                budget.add_outage(outage);
             }
         }
         for service in config.services.values() {
             if let Some(budget) = budgets.get_mut(&service.pool) {
-                budget.bind(service);
+                budget.apply_limit(service);
             }
         }
         budgets
@@ -66,8 +66,8 @@
         }
     }
 
-    fn count(&mut self, hold: &Hold) {
-        match hold.counts() {
+    fn add_outage(&mut self, outage: &Outage) {
+        match outage.uses_budget() {
             true => self.down += 1,
             false => self.members -= 1,
         }
@@ -77,10 +77,10 @@
     ///
     /// One member has to stay whatever the number says: arrivals may have made a sensible
     /// budget as large as the members that really serve.
-    fn bind(&mut self, service: &Service) {
-        let most = service.max_down.min(self.members.saturating_sub(1));
-        if most < self.most() || self.limit.is_none() {
-            self.limit = Some((most, service.id.clone()));
+    fn apply_limit(&mut self, service: &Service) {
+        let allowed = service.max_down.min(self.members.saturating_sub(1));
+        if allowed < self.allowed() || self.limit.is_none() {
+            self.limit = Some((allowed, service.id.clone()));
         }
     }
 
@@ -90,8 +90,10 @@
     }
 
     /// Most that may be unavailable; all if no service needs the pool.
-    pub fn most(&self) -> u32 {
-        self.limit.as_ref().map_or(u32::MAX, |(most, _)| *most)
+    pub fn allowed(&self) -> u32 {
+        self.limit
+            .as_ref()
+            .map_or(u32::MAX, |(allowed, _)| *allowed)
     }
 
     /// How far `more` outages on top would exceed the limit.
--- a/crates/fleet/src/disruptions/moves.rs
+++ b/crates/fleet/src/disruptions/moves.rs
@@ -11,26 +11,26 @@
 
 impl Disruptions {
     /// Replaces the wanted moves, all or nothing.
-    pub(crate) fn set_moves(&mut self, wanted: &Moves, config: &Config) -> Result<(), Refusal> {
-        if wanted.moves.len() > MAX_MOVES {
-            let detail = format!("{} moves, takes {MAX_MOVES}", wanted.moves.len());
+    pub(crate) fn set_moves(&mut self, list: &Moves, config: &Config) -> Result<(), Refusal> {
+        if list.moves.len() > MAX_MOVES {
+            let detail = format!("{} moves, takes {MAX_MOVES}", list.moves.len());
             return Err(refuse(Code::BadTicket, detail));
         }
         let mut seen = Set::default();
-        for wish in &wanted.moves {
-            check_wish(wish, config)?;
-            if !seen.insert(&wish.instance) {
-                let detail = format!("{} is named twice", wish.instance);
+        for wanted in &list.moves {
+            check_move(wanted, config)?;
+            if !seen.insert(&wanted.instance) {
+                let detail = format!("{} is named twice", wanted.instance);
                 return Err(refuse(Code::BadTicket, detail));
             }
         }
-        self.wishes = wanted.moves.clone();
+        self.wanted_moves = list.moves.clone();
         Ok(())
     }
 
     /// Moves that are wanted and not done yet, in their order.
-    pub fn wishes(&self) -> &[WantedMove] {
-        &self.wishes
+    pub fn wanted_moves(&self) -> &[WantedMove] {
+        &self.wanted_moves
     }
 
     /// Refuses a move that would leave its pool too small for its demand or its budget.
@@ -54,8 +54,8 @@
         to: &PoolId,
         config: &Config,
     ) -> Result<(), Refusal> {
-        let wish = self.wishes.iter().find(|w| w.instance == instance.id);
-        if wish.is_none_or(|w| w.from != *from || w.to != *to) {
+        let wanted = self.wanted_moves.iter().find(|w| w.instance == instance.id);
+        if wanted.is_none_or(|w| w.from != *from || w.to != *to) {
             let detail = format!("no move of {} from {from} to {to} is wanted", instance.id);
             return Err(refuse(Code::GrantStale, detail));
         }
@@ -70,19 +70,22 @@
     }
 
     /// Forgets the move of an instance.
-    pub(super) fn drop_wish(&mut self, id: &InstanceId) {
-        self.wishes.retain(|w| w.instance != *id);
+    pub(super) fn drop_move(&mut self, id: &InstanceId) {
+        self.wanted_moves.retain(|w| w.instance != *id);
     }
 }
 
-fn check_wish(wish: &WantedMove, config: &Config) -> Result<(), Refusal> {
-    let instance = config.instances.get(&wish.instance);
-    if instance.is_none_or(|i| i.pool != wish.from) || wish.from == wish.to {
-        let detail = format!("{} is not in pool {}", wish.instance, wish.from);
+fn check_move(wanted: &WantedMove, config: &Config) -> Result<(), Refusal> {
+    let instance = config.instances.get(&wanted.instance);
+    if instance.is_none_or(|i| i.pool != wanted.from) || wanted.from == wanted.to {
+        let detail = format!("{} is not in pool {}", wanted.instance, wanted.from);
         return Err(refuse(Code::GrantStale, detail));
     }
-    if !config.pools.contains(&wish.to) {
-        return Err(refuse(Code::MissingReference, format!("pool {}", wish.to)));
+    if !config.pools.contains(&wanted.to) {
+        return Err(refuse(
+            Code::MissingReference,
+            format!("pool {}", wanted.to),
+        ));
     }
     Ok(())
 }
--- a/crates/fleet/src/disruptions/hold.rs
+++ b/crates/fleet/src/disruptions/outage.rs
@@ -5,7 +5,7 @@
 
 /// Why and since which record an instance is unavailable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hold {
+pub struct Outage {
     /// The instance.
     pub instance: InstanceId,
     /// Offset of the record that began it; names it in every later step.
@@ -30,12 +30,12 @@
     Lost,
 }
 
-impl Hold {
+impl Outage {
     /// Whether it takes from the budget of the instance's pool.
     ///
     /// An arriving instance takes nothing: it never served its new pool, so its absence
     /// leaves that pool as available as it was before.
-    pub fn counts(&self) -> bool {
+    pub fn uses_budget(&self) -> bool {
         self.stage != Stage::Arriving
     }
 }
--- a/crates/fleet/src/disruptions/room.rs
+++ b/crates/fleet/src/disruptions/room.rs
@@ -5,11 +5,11 @@
 use super::Disruptions;
 use crate::Config;
 
-/// Refuses to take `leaver` out of `pool` for good if the rest would be too small.
+/// Refuses to take `leaving` out of `pool` for good if the rest would be too small.
 ///
 /// Two plans that were each sound may race; this rule holds them together.
 pub(super) fn check_leaving(
-    leaver: &InstanceId,
+    leaving: &InstanceId,
     pool: &PoolId,
     config: &Config,
     disruptions: &Disruptions,
@@ -25,7 +25,7 @@
     let mut total = 0;
     let mut racks: Map<(&DcId, &RackId), u64> = Map::default();
     for instance in config.instances.values().filter(|i| i.pool == *pool) {
-        if instance.id == *leaver || disruptions.hold(&instance.id).is_some() {
+        if instance.id == *leaving || disruptions.outage(&instance.id).is_some() {
             continue;
         }
         let slots = u64::from(instance.slots.get());
--- a/crates/fleet/src/disruptions/steps.rs
+++ b/crates/fleet/src/disruptions/steps.rs
@@ -4,7 +4,7 @@
     Code, Disruption, Incarnation, Instance, InstanceId, Offset, Purpose, Refusal,
 };
 
-use super::{Disruptions, Hold, Stage};
+use super::{Disruptions, Outage, Stage};
 use crate::Config;
 
 impl Disruptions {
@@ -42,28 +42,31 @@
         purpose: &Purpose,
         config: &Config,
     ) -> Result<Offset, Refusal> {
-        self.check_life(&instance.id, incarnation)?;
-        if let Some(hold) = self.hold(&instance.id) {
+        self.check_incarnation(&instance.id, incarnation)?;
+        if let Some(outage) = self.outage(&instance.id) {
             // An append whose answer was lost is sent again: same grant, first fence.
-            let same = hold.incarnation == incarnation
-                && matches!(&hold.stage, Stage::Draining(p) if p == purpose);
+            let same = outage.incarnation == incarnation
+                && matches!(&outage.stage, Stage::Draining(p) if p == purpose);
             return match same {
-                true => Ok(hold.fence),
-                false => Err(refuse(Code::InstanceHeld, format!("since {}", hold.fence))),
+                true => Ok(outage.fence),
+                false => Err(refuse(
+                    Code::InstanceHeld,
+                    format!("since {}", outage.fence),
+                )),
             };
         }
         match purpose {
-            Purpose::Reboot(wave) => self.check_turn(&instance.id, *wave)?,
+            Purpose::Reboot(wave) => self.check_wave(&instance.id, *wave)?,
             Purpose::Move { from, to } => self.check_wanted(instance, from, to, config)?,
         }
         let budget = self.budget(&instance.pool, config);
         if !budget.has_room() {
             return Err(refuse(Code::BudgetFull, budget.describe(&instance.pool)));
         }
-        self.learn(&instance.id, incarnation);
-        self.holds.insert(
+        self.record_incarnation(&instance.id, incarnation);
+        self.outages.insert(
             instance.id.clone(),
-            Hold {
+            Outage {
                 instance: instance.id.clone(),
                 fence: offset,
                 incarnation,
@@ -78,16 +81,16 @@
     /// Failure: losses are reported between grant and action, or the operator pauses the
     /// wave; symptom: a reboot starts in a pool that is short already. The budget is judged
     /// again here, with the grant counted, and a driver acts only on a commit that it has
-    /// read back. A commit cannot be cancelled, so whoever holds it may act after any time.
+    /// read back. A commit cannot be cancelled, so whoever outages it may act after any time.
     fn commit(
         &mut self,
         instance: &Instance,
         fence: Offset,
         config: &mut Config,
     ) -> Result<Offset, Refusal> {
-        let hold = self.named(&instance.id, fence)?.clone();
-        let Stage::Draining(purpose) = &hold.stage else {
-            return match hold.stage {
+        let outage = self.outage_by_fence(&instance.id, fence)?.clone();
+        let Stage::Draining(purpose) = &outage.stage else {
+            return match outage.stage {
                 Stage::Lost => Err(Refusal::new(Code::WrongStage)),
                 _ => Ok(fence),
             };
@@ -98,12 +101,12 @@
         }
         let stage = match purpose {
             Purpose::Reboot(wave) => {
-                self.check_turn(&instance.id, *wave)?;
+                self.check_wave(&instance.id, *wave)?;
                 Stage::Rebooting(*wave)
             }
             Purpose::Move { from, to } => {
                 self.check_wanted(instance, from, to, config)?;
-                self.drop_wish(&instance.id);
+                self.drop_move(&instance.id);
                 let moved = Instance {
                     pool: to.clone(),
                     ..instance.clone()
@@ -112,8 +115,8 @@
                 Stage::Arriving
             }
         };
-        self.holds
-            .insert(instance.id.clone(), Hold { stage, ..hold });
+        self.outages
+            .insert(instance.id.clone(), Outage { stage, ..outage });
         Ok(fence)
     }
 
@@ -124,11 +127,11 @@
         fence: Offset,
         busy: bool,
     ) -> Result<Offset, Refusal> {
-        let hold = self.named(id, fence)?;
-        if !matches!(hold.stage, Stage::Draining(_)) {
+        let outage = self.outage_by_fence(id, fence)?;
+        if !matches!(outage.stage, Stage::Draining(_)) {
             return Err(refuse(Code::WrongStage, "committed".to_owned()));
         }
-        self.holds.remove(id);
+        self.outages.remove(id);
         if busy {
             self.deferred.insert(id.clone(), offset);
         }
@@ -144,20 +147,20 @@
         fence: Offset,
         incarnation: Incarnation,
     ) -> Result<Offset, Refusal> {
-        let hold = self.named(id, fence)?.clone();
-        let ended = match hold.stage {
-            Stage::Draining(_) | Stage::Rebooting(_) => incarnation > hold.incarnation,
-            Stage::Arriving | Stage::Lost => incarnation >= hold.incarnation,
+        let outage = self.outage_by_fence(id, fence)?.clone();
+        let ended = match outage.stage {
+            Stage::Draining(_) | Stage::Rebooting(_) => incarnation > outage.incarnation,
+            Stage::Arriving | Stage::Lost => incarnation >= outage.incarnation,
         };
         if !ended {
-            let detail = format!("{incarnation} seen, {} went down", hold.incarnation);
+            let detail = format!("{incarnation} seen, {} went down", outage.incarnation);
             return Err(refuse(Code::GrantStale, detail));
         }
-        if let Stage::Rebooting(wave) | Stage::Draining(Purpose::Reboot(wave)) = hold.stage {
-            self.turns.insert(id.clone(), wave);
+        if let Stage::Rebooting(wave) | Stage::Draining(Purpose::Reboot(wave)) = outage.stage {
+            self.last_waves.insert(id.clone(), wave);
         }
-        self.learn(id, incarnation);
-        self.holds.remove(id);
+        self.record_incarnation(id, incarnation);
+        self.outages.remove(id);
         self.deferred.remove(id);
         Ok(fence)
     }
@@ -169,18 +172,18 @@
         id: &InstanceId,
         incarnation: Incarnation,
     ) -> Result<Offset, Refusal> {
-        self.check_life(id, incarnation)?;
-        if let Some(hold) = self.hold(id) {
+        self.check_incarnation(id, incarnation)?;
+        if let Some(outage) = self.outage(id) {
             // A drain that has not been committed ends here; all else is counted already, or
             // counts nothing until it is seen healthy.
-            if !matches!(hold.stage, Stage::Draining(_)) {
-                return Ok(hold.fence);
+            if !matches!(outage.stage, Stage::Draining(_)) {
+                return Ok(outage.fence);
             }
         }
-        self.learn(id, incarnation);
-        self.holds.insert(
+        self.record_incarnation(id, incarnation);
+        self.outages.insert(
             id.clone(),
-            Hold {
+            Outage {
                 instance: id.clone(),
                 fence: offset,
                 incarnation,
@@ -190,12 +193,12 @@
         Ok(offset)
     }
 
-    fn named(&self, id: &InstanceId, fence: Offset) -> Result<&Hold, Refusal> {
-        match self.hold(id) {
-            Some(hold) if hold.fence == fence => Ok(hold),
-            Some(hold) => Err(refuse(
+    fn outage_by_fence(&self, id: &InstanceId, fence: Offset) -> Result<&Outage, Refusal> {
+        match self.outage(id) {
+            Some(outage) if outage.fence == fence => Ok(outage),
+            Some(outage) => Err(refuse(
                 Code::GrantStale,
-                format!("{fence} named, {} holds", hold.fence),
+                format!("{fence} named, {} holds", outage.fence),
             )),
             None => Err(refuse(
                 Code::GrantStale,
@@ -204,8 +207,8 @@
         }
     }
 
-    fn check_life(&self, id: &InstanceId, incarnation: Incarnation) -> Result<(), Refusal> {
-        let known = self.life(id);
+    fn check_incarnation(&self, id: &InstanceId, incarnation: Incarnation) -> Result<(), Refusal> {
+        let known = self.last_incarnation(id);
         if incarnation >= known {
             return Ok(());
         }
@@ -213,9 +216,9 @@
         Err(refuse(Code::GrantStale, detail))
     }
 
-    fn learn(&mut self, id: &InstanceId, incarnation: Incarnation) {
-        if incarnation > self.life(id) {
-            self.lives.insert(id.clone(), incarnation);
+    fn record_incarnation(&mut self, id: &InstanceId, incarnation: Incarnation) {
+        if incarnation > self.last_incarnation(id) {
+            self.incarnations.insert(id.clone(), incarnation);
         }
     }
 }
--- a/crates/fleet/src/disruptions/tickets.rs
+++ b/crates/fleet/src/disruptions/tickets.rs
@@ -16,10 +16,10 @@
         old: &Config,
         next: &Config,
     ) -> Result<(), Refusal> {
-        for id in ticket.changes.iter().filter_map(removed) {
-            self.check_removed(id)?;
+        for id in ticket.changes.iter().filter_map(removed_instance) {
+            self.check_removable(id)?;
         }
-        for pool in pools(ticket, old, next) {
+        for pool in affected_pools(ticket, old, next) {
             let before = self.budget(&pool, old);
             let after = self.budget(&pool, next);
             check_pool(&pool, &before, &after)?;
@@ -28,21 +28,21 @@
     }
 
     /// Ends outages that the ticket has made pointless.
-    pub(crate) fn follow_ticket(&mut self, ticket: &Ticket, old: &Config, next: &Config) {
+    pub(crate) fn apply_ticket(&mut self, ticket: &Ticket, old: &Config, next: &Config) {
         for change in &ticket.changes {
             match change {
-                Change::Remove(ObjectId::Instance(id)) => self.forget(id),
+                Change::Remove(ObjectId::Instance(id)) => self.remove_instance(id),
                 Change::Instance(x) => {
                     let before = old.instances.get(&x.id).map(|i| &i.pool);
                     let draining = self
-                        .hold(&x.id)
+                        .outage(&x.id)
                         .is_some_and(|h| matches!(h.stage, Stage::Draining(_)));
                     if before != next.instances.get(&x.id).map(|i| &i.pool) {
-                        self.drop_wish(&x.id);
+                        self.drop_move(&x.id);
                     }
                     // A drain for another pool's sake; its commit will be refused.
                     if draining && before != next.instances.get(&x.id).map(|i| &i.pool) {
-                        self.holds.remove(&x.id);
+                        self.outages.remove(&x.id);
                     }
                 }
                 _ => {}
@@ -53,8 +53,8 @@
     /// Failure: a committed reboot is forgotten with its instance, the same name is added
     /// again, and a paused driver still reboots it; symptom: an outage that no budget counts.
     /// Committed instances therefore stay until they are back.
-    fn check_removed(&self, id: &InstanceId) -> Result<(), Refusal> {
-        match self.hold(id).map(|h| &h.stage) {
+    fn check_removable(&self, id: &InstanceId) -> Result<(), Refusal> {
+        match self.outage(id).map(|h| &h.stage) {
             Some(Stage::Rebooting(_)) => Err(refuse(
                 Code::InstanceHeld,
                 format!("{id} is being rebooted"),
@@ -63,11 +63,11 @@
         }
     }
 
-    fn forget(&mut self, id: &InstanceId) {
-        self.holds.remove(id);
-        self.drop_wish(id);
-        self.lives.remove(id);
-        self.turns.remove(id);
+    fn remove_instance(&mut self, id: &InstanceId) {
+        self.outages.remove(id);
+        self.drop_move(id);
+        self.incarnations.remove(id);
+        self.last_waves.remove(id);
         self.deferred.remove(id);
     }
 }
@@ -80,18 +80,18 @@
 fn check_pool(pool: &PoolId, before: &Budget, after: &Budget) -> Result<(), Refusal> {
     let over = after.excess(0).unwrap_or(0);
     let worse = over > before.excess(0).unwrap_or(0);
-    let lowered = over > 0 && after.most() < before.most();
+    let lowered = over > 0 && after.allowed() < before.allowed();
     let healthy = |b: &Budget| b.members - b.down;
-    let given = healthy(before).saturating_sub(healthy(after));
-    let short = after.down > 0 && given > 0 && after.excess(given).is_some();
+    let leaving = healthy(before).saturating_sub(healthy(after));
+    let short = after.down > 0 && leaving > 0 && after.excess(leaving).is_some();
     if !worse && !lowered && !short {
         return Ok(());
     }
-    let detail = format!("{}, {given} healthy ones leave", after.describe(pool));
+    let detail = format!("{}, {leaving} healthy ones leave", after.describe(pool));
     Err(refuse(Code::BudgetFull, detail))
 }
 
-fn removed(change: &Change) -> Option<&InstanceId> {
+fn removed_instance(change: &Change) -> Option<&InstanceId> {
     match change {
         Change::Remove(ObjectId::Instance(id)) => Some(id),
         _ => None,
@@ -99,7 +99,7 @@
 }
 
 /// Pools whose members or budgets the ticket touches.
-fn pools(ticket: &Ticket, old: &Config, next: &Config) -> BTreeSet<PoolId> {
+fn affected_pools(ticket: &Ticket, old: &Config, next: &Config) -> BTreeSet<PoolId> {
     let mut pools = BTreeSet::new();
     for object in ticket.changes.iter().map(Change::object) {
         for config in [old, next] {
--- a/crates/fleet/src/disruptions/waves.rs
+++ b/crates/fleet/src/disruptions/waves.rs
@@ -15,7 +15,7 @@
             return Err(refuse(Code::WaveClosed, detail));
         }
         let began = match &self.wave {
-            Some(now) if now.number == wave.number => now.began,
+            Some(current) if current.number == wave.number => current.began,
             _ => wave.began,
         };
         self.wave = Some(Wave {
@@ -26,7 +26,7 @@
     }
 
     /// Refuses an outage in a wave that is past, paused or has had this instance.
-    pub(super) fn check_turn(&self, id: &InstanceId, number: WaveNo) -> Result<(), Refusal> {
+    pub(super) fn check_wave(&self, id: &InstanceId, number: WaveNo) -> Result<(), Refusal> {
         let Some(wave) = self.wave.as_ref().filter(|w| w.number == number) else {
             let detail = format!("wave {number} is not the newest");
             return Err(refuse(Code::WaveClosed, detail));
@@ -34,7 +34,7 @@
         if wave.paused {
             return Err(refuse(Code::WaveClosed, "paused by an operator".to_owned()));
         }
-        if self.turn(id).is_some_and(|turn| turn >= number) {
+        if self.last_wave(id).is_some_and(|last| last >= number) {
             let detail = format!("{id} had its turn in wave {number}");
             return Err(refuse(Code::WaveClosed, detail));
         }
--- a/crates/fleet/src/jobs/job.rs
+++ b/crates/fleet/src/jobs/job.rs
@@ -21,7 +21,8 @@
     /// Attempts that were lost.
     pub lost: u32,
     /// The last checkpoint, if it has one.
-    pub mark: Option<String>,
+    #[serde(rename = "mark")]
+    pub checkpoint: Option<String>,
     /// Whether a running attempt is to be stopped and not repeated.
     pub cancel: bool,
 }
@@ -36,7 +37,7 @@
             attempt: Attempt::default(),
             failed: Vec::new(),
             lost: 0,
-            mark: None,
+            checkpoint: None,
             cancel: false,
         }
     }
--- a/crates/fleet/src/jobs/store.rs
+++ b/crates/fleet/src/jobs/store.rs
@@ -13,19 +13,19 @@
 use crate::{Config, Disruptions, Table};
 
 /// Ended jobs that are remembered, so that a repeated submission is told what became of it.
-const ENDED: usize = 20_000;
+const MAX_ENDED_JOBS: usize = 20_000;
 
 /// Waiting jobs of one team.
-const WAITING: u32 = 5_000;
+const MAX_WAITING_JOBS: u32 = 5_000;
 
 /// Longest payload, in bytes.
-const PAYLOAD: usize = 4 << 10;
+const MAX_PAYLOAD_BYTES: usize = 4 << 10;
 
 /// Different workers that a job may fail on.
-const WORKERS: usize = 3;
+const MAX_FAILED_WORKERS: usize = 3;
 
 /// Attempts of one job that may be lost.
-const LOST: u32 = 10;
+const MAX_LOST_ATTEMPTS: u32 = 10;
 
 /// Jobs by name, workers by what is placed on them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,10 +45,11 @@
     workers: Table<InstanceId, Worker>,
     /// Ended jobs, oldest first.
     ///
-    /// Invariant: at most `ENDED`.
+    /// Invariant: at most `MAX_ENDED_JOBS`.
     ended: Arc<VecDeque<JobId>>,
     /// The next of the workers' reports to take over.
-    reports: Offset,
+    #[serde(rename = "reports")]
+    next_report: Offset,
 }
 
 impl Jobs {
@@ -78,8 +79,8 @@
     }
 
     /// The next of the workers' reports to take over.
-    pub fn reports(&self) -> Offset {
-        self.reports
+    pub fn next_report(&self) -> Offset {
+        self.next_report
     }
 
     /// Applies one event.
@@ -101,11 +102,11 @@
                 incarnation,
                 room,
             } => self.place(job, *attempt, (worker, *incarnation), *room, config),
-            JobEvent::Checkpoint { job, attempt, mark } => self.mark(job, *attempt, mark),
+            JobEvent::Checkpoint { job, attempt, mark } => self.checkpoint(job, *attempt, mark),
             JobEvent::End { job, attempt, end } => self.end(job, *attempt, *end),
             JobEvent::Cancel { job } => self.cancel(job),
             JobEvent::Reports { next } => {
-                self.reports = self.reports.max(*next);
+                self.next_report = self.next_report.max(*next);
                 Ok(())
             }
         }
@@ -128,11 +129,11 @@
             };
         }
         check_spec(id, spec, config)?;
-        if self.waiting(&id.team) >= WAITING {
+        if self.waiting(&id.team) >= MAX_WAITING_JOBS {
             return Err(Refusal::new(Code::JobsFull));
         }
         self.jobs.insert(id.clone(), Job::new(spec.clone(), at));
-        count(&mut self.waiting, &id.team, 1);
+        adjust_count(&mut self.waiting, &id.team, 1);
         Ok(())
     }
 
@@ -170,17 +171,17 @@
         };
         self.jobs.insert(id.clone(), job);
         self.workers.insert(worker.clone(), load);
-        count(&mut self.waiting, &id.team, -1);
-        count(&mut self.placed, &id.team, 1);
+        adjust_count(&mut self.waiting, &id.team, -1);
+        adjust_count(&mut self.placed, &id.team, 1);
         Ok(())
     }
 
     fn check_team(&self, team: &TeamId, config: &Config) -> Result<(), Refusal> {
-        let most = config
+        let max = config
             .teams
             .get(team)
             .map_or(0, |t| t.jobs.get().min(t.limit.get()));
-        if self.placed(team) < most {
+        if self.placed(team) < max {
             return Ok(());
         }
         Err(Refusal::new(Code::TeamLimit))
@@ -201,16 +202,16 @@
             .map(|w| Worker::clone(w))
             .unwrap_or_default();
         let fits = (load.used + room).fits(Room::of(instance));
-        if instance.pool != spec.pool || !fits || !load.takes_work() {
+        if instance.pool != spec.pool || !fits || !load.accepts_work() {
             return Err(full());
         }
         Ok(load)
     }
 
-    fn mark(&mut self, id: &JobId, attempt: Attempt, mark: &str) -> Result<(), Refusal> {
-        let job = self.running(id, attempt)?;
+    fn checkpoint(&mut self, id: &JobId, attempt: Attempt, mark: &str) -> Result<(), Refusal> {
+        let job = self.placed_job(id, attempt)?;
         let job = Job {
-            mark: Some(mark.to_owned()),
+            checkpoint: Some(mark.to_owned()),
             ..Job::clone(job)
         };
         self.jobs.insert(id.clone(), job);
@@ -218,7 +219,7 @@
     }
 
     fn end(&mut self, id: &JobId, attempt: Attempt, end: AttemptEnd) -> Result<(), Refusal> {
-        let mut job = Job::clone(self.running(id, attempt)?);
+        let mut job = Job::clone(self.placed_job(id, attempt)?);
         let JobPhase::Placed { worker, room, .. } = &job.phase else {
             return Err(Refusal::new(Code::JobMoved));
         };
@@ -230,14 +231,14 @@
         if end == AttemptEnd::Failed && !job.failed.contains(&worker) {
             job.failed.push(worker);
         }
-        job.phase = after(&job, end);
+        job.phase = next_phase(&job, end);
         let queued = job.phase == JobPhase::Queued;
         self.jobs.insert(id.clone(), job);
-        count(&mut self.placed, &id.team, -1);
+        adjust_count(&mut self.placed, &id.team, -1);
         if queued {
-            count(&mut self.waiting, &id.team, 1);
+            adjust_count(&mut self.waiting, &id.team, 1);
         } else {
-            self.forget(id);
+            self.record_ended(id);
         }
         Ok(())
     }
@@ -254,7 +255,7 @@
             AttemptEnd::Failed if !load.streak.contains(id) => load.streak.push(id.clone()),
             _ => {}
         }
-        if load.is_blank() {
+        if load.is_unused() {
             self.workers.remove(worker);
         } else {
             self.workers.insert(worker.clone(), load);
@@ -273,8 +274,8 @@
                     ..Job::clone(job)
                 };
                 self.jobs.insert(id.clone(), job);
-                count(&mut self.waiting, &id.team, -1);
-                self.forget(id);
+                adjust_count(&mut self.waiting, &id.team, -1);
+                self.record_ended(id);
                 Ok(())
             }
             JobPhase::Placed { .. } => {
@@ -291,7 +292,7 @@
     }
 
     /// The job, if exactly this attempt is placed; a late word of an older one is refused.
-    fn running(&self, id: &JobId, attempt: Attempt) -> Result<&Arc<Job>, Refusal> {
+    fn placed_job(&self, id: &JobId, attempt: Attempt) -> Result<&Arc<Job>, Refusal> {
         let job = self
             .jobs
             .get(id)
@@ -303,10 +304,10 @@
     }
 
     /// Notes a job's end and drops the oldest ended one beyond the bound.
-    fn forget(&mut self, id: &JobId) {
+    fn record_ended(&mut self, id: &JobId) {
         let ended = Arc::make_mut(&mut self.ended);
         ended.push_back(id.clone());
-        if ended.len() > ENDED
+        if ended.len() > MAX_ENDED_JOBS
             && let Some(oldest) = ended.pop_front()
         {
             self.jobs.remove(&oldest);
@@ -319,8 +320,8 @@
         let detail = format!("team {} and pool {} have to exist", id.team, spec.pool);
         return Err(Refusal::new(Code::MissingReference).with_detail(detail));
     }
-    if spec.payload.len() > PAYLOAD || spec.room.cores.get() == 0 {
-        let detail = format!("takes a core or more and a payload up to {PAYLOAD} bytes");
+    if spec.payload.len() > MAX_PAYLOAD_BYTES || spec.room.cores.get() == 0 {
+        let detail = format!("takes a core or more and a payload up to {MAX_PAYLOAD_BYTES} bytes");
         return Err(Refusal::new(Code::BadJob).with_detail(detail));
     }
     let mut pool = config.instances.values().filter(|i| i.pool == spec.pool);
@@ -331,10 +332,10 @@
 }
 
 /// The phase after an attempt ended.
-fn after(job: &Job, end: AttemptEnd) -> JobPhase {
+fn next_phase(job: &Job, end: AttemptEnd) -> JobPhase {
     match end {
         AttemptEnd::Done => JobPhase::Done,
-        AttemptEnd::Failed if job.failed.len() >= WORKERS => JobPhase::Failed,
+        AttemptEnd::Failed if job.failed.len() >= MAX_FAILED_WORKERS => JobPhase::Failed,
         _ if job.cancel => JobPhase::Cancelled,
         AttemptEnd::Refused => JobPhase::Queued,
         // The task ran a part and its word that it failed or stopped is itself an answer; what
@@ -342,13 +343,13 @@
         AttemptEnd::Failed | AttemptEnd::Stopped | AttemptEnd::Lost => match job.spec.retry {
             Retry::Never if end == AttemptEnd::Failed => JobPhase::Failed,
             Retry::Never => JobPhase::Unknown,
-            Retry::Restart | Retry::Resume if job.lost >= LOST => JobPhase::Failed,
+            Retry::Restart | Retry::Resume if job.lost >= MAX_LOST_ATTEMPTS => JobPhase::Failed,
             Retry::Restart | Retry::Resume => JobPhase::Queued,
         },
     }
 }
 
-fn count(table: &mut Table<TeamId, u32>, team: &TeamId, change: i32) {
+fn adjust_count(table: &mut Table<TeamId, u32>, team: &TeamId, change: i32) {
     let n = table
         .get(team)
         .map_or(0, |n| **n)
--- a/crates/fleet/src/jobs/worker.rs
+++ b/crates/fleet/src/jobs/worker.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Different jobs that have to fail in a row before a worker is set aside.
-const STREAK: usize = 3;
+const SUSPECT_STREAK: usize = 3;
 
 /// Room set aside on a worker, and how its last attempts went.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,16 +24,16 @@
     /// the whole queue. Different jobs that fail in a row point at the worker; one job at a
     /// time still goes there, so that it is found out when it works again.
     pub fn is_suspect(&self) -> bool {
-        self.streak.len() >= STREAK
+        self.streak.len() >= SUSPECT_STREAK
     }
 
     /// Whether another attempt may be placed.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         !self.is_suspect() || self.placed == 0
     }
 
     /// Whether nothing is known that a fresh worker would not have.
-    pub(super) fn is_blank(&self) -> bool {
+    pub(super) fn is_unused(&self) -> bool {
         self.placed == 0 && self.streak.is_empty()
     }
 }
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -12,20 +12,21 @@
 ///
 /// They are the largest part of a state. A repeat comes within minutes; a number that is put
 /// in later than this many others is refused as stale, and the operator takes a new one.
-const KEPT: usize = 6_000;
+const MAX_OUTCOMES: usize = 6_000;
 
 /// Remembers tickets so that a repeat gets the first one's result and nothing reverts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// Outcomes by number.
     ///
-    /// Invariant: at most `KEPT`, all numbered above `floor`.
+    /// Invariant: at most `MAX_OUTCOMES`, all numbered above `floor`.
     outcomes: OrdMap<TicketNo, Arc<Outcome>>,
     /// The ticket that last touched an object, removed objects too.
     ///
     /// Invariant: only numbers above `floor`; lower ones are refused by the floor itself.
     #[serde(with = "pairs")]
-    touched: OrdMap<ObjectId, TicketNo>,
+    #[serde(rename = "touched")]
+    last_tickets: OrdMap<ObjectId, TicketNo>,
     /// Highest number whose outcome was forgotten; it and all below are stale.
     floor: Option<TicketNo>,
 }
@@ -37,13 +38,13 @@
     }
 
     /// Whether a number is too old to be judged.
-    pub fn is_forgotten(&self, ticket: TicketNo) -> bool {
+    pub fn is_expired(&self, ticket: TicketNo) -> bool {
         self.floor.is_some_and(|floor| ticket <= floor)
     }
 
     /// The ticket that last touched an object.
-    pub fn toucher(&self, object: &ObjectId) -> Option<TicketNo> {
-        self.touched.get(object).copied()
+    pub fn last_ticket(&self, object: &ObjectId) -> Option<TicketNo> {
+        self.last_tickets.get(object).copied()
     }
 
     /// Remembered outcomes, oldest number first.
@@ -54,26 +55,26 @@
     /// Records the result of the first record with its number.
     pub(crate) fn record(&mut self, outcome: Arc<Outcome>) {
         self.outcomes.insert(outcome.ticket, outcome);
-        if self.outcomes.len() > KEPT {
-            self.forget();
+        if self.outcomes.len() > MAX_OUTCOMES {
+            self.expire_lowest();
         }
     }
 
     /// Records that an accepted ticket touched an object.
-    pub(crate) fn touch(&mut self, object: ObjectId, ticket: TicketNo) {
-        self.touched.insert(object, ticket);
+    pub(crate) fn record_change(&mut self, object: ObjectId, ticket: TicketNo) {
+        self.last_tickets.insert(object, ticket);
     }
 
-    fn forget(&mut self) {
+    fn expire_lowest(&mut self) {
         let Some(floor) = self.outcomes.get_min().map(|(ticket, _)| *ticket) else {
             return;
         };
         self.outcomes.remove(&floor);
         self.floor = Some(floor);
-        let below = self.touched.iter().filter(|(_, t)| **t <= floor);
+        let below = self.last_tickets.iter().filter(|(_, t)| **t <= floor);
         let below: Vec<_> = below.map(|(object, _)| object.clone()).collect();
         for object in below {
-            self.touched.remove(&object);
+            self.last_tickets.remove(&object);
         }
     }
 }
@@ -84,13 +85,15 @@
     use imbl::OrdMap;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    type Touched = OrdMap<ObjectId, TicketNo>;
+    type LastTickets = OrdMap<ObjectId, TicketNo>;
 
-    pub(super) fn serialize<S: Serializer>(map: &Touched, out: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(map: &LastTickets, out: S) -> Result<S::Ok, S::Error> {
         out.collect_seq(map.iter())
     }
 
-    pub(super) fn deserialize<'de, D: Deserializer<'de>>(input: D) -> Result<Touched, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        input: D,
+    ) -> Result<LastTickets, D::Error> {
         let pairs = Vec::<(ObjectId, TicketNo)>::deserialize(input)?;
         Ok(pairs.into_iter().collect())
     }
--- a/crates/fleet/src/recent.rs
+++ b/crates/fleet/src/recent.rs
@@ -13,7 +13,7 @@
 
 /// The newest records, as they stand in the log.
 #[derive(Debug, Clone, Default)]
-pub struct Recent {
+pub struct RecentRecords {
     /// Offset of the oldest record held; of the next one, if none is.
     first: Offset,
     /// Invariant: consecutive offsets from `first` on; at most `MAX_COUNT`.
@@ -24,14 +24,14 @@
     bytes: usize,
 }
 
-impl Recent {
+impl RecentRecords {
     /// Offset of the oldest record held.
     pub fn first(&self) -> Offset {
         self.first
     }
 
     /// Holds nothing but what comes from `next` on.
-    pub fn restart(&mut self, next: Offset) {
+    pub fn reset(&mut self, next: Offset) {
         *self = Self {
             first: next,
             ..Self::default()
@@ -55,11 +55,11 @@
     /// than `bytes`: who asks has to take a snapshot.
     pub fn read(&self, from: Offset, max: usize, bytes: usize) -> Option<Vec<Arc<str>>> {
         let skip = from.get().checked_sub(self.first.get())? as usize;
-        let mut left = bytes;
+        let mut remaining = bytes;
         let mut found = Vec::new();
         for body in self.bodies.iter().skip(skip).take(max) {
-            match left.checked_sub(body.len()) {
-                Some(rest) => left = rest,
+            match remaining.checked_sub(body.len()) {
+                Some(rest) => remaining = rest,
                 None if found.is_empty() => return None,
                 None => break,
             }
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -4,7 +4,7 @@
 
 use cactuswheel_model::{Offset, Refusal};
 
-use crate::{Applied, Recent, State};
+use crate::{Applied, RecentRecords, State};
 
 /// Records that do not follow on what was applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     state: Arc<State>,
-    recent: Recent,
+    recent: RecentRecords,
     /// Highest head that the log or a peer told.
-    known: Offset,
+    known_head: Offset,
 }
 
 impl Replica {
@@ -44,23 +44,23 @@
     }
 
     /// The newest raw records.
-    pub fn recent(&self) -> &Recent {
+    pub fn recent(&self) -> &RecentRecords {
         &self.recent
     }
 
     /// The highest head that was heard of.
-    pub fn known(&self) -> Offset {
-        self.known
+    pub fn known_head(&self) -> Offset {
+        self.known_head
     }
 
     /// Notes how far the log or a peer is.
-    pub fn hear(&mut self, head: Offset) {
-        self.known = self.known.max(head);
+    pub fn note_head(&mut self, head: Offset) {
+        self.known_head = self.known_head.max(head);
     }
 
     /// Whether the state holds everything that the fleet is known to hold.
     pub fn is_current(&self) -> bool {
-        self.state.next() >= self.known
+        self.state.next() >= self.known_head
     }
 
     /// Applies records that follow each other from `first` on; those known already do nothing.
@@ -74,8 +74,8 @@
             return Err(Gap { next, got: first });
         }
         let mut progress = Progress::default();
-        let known = (next.get() - first.get()) as usize;
-        let Some(fresh) = bodies.get(known..).filter(|b| !b.is_empty()) else {
+        let skip = (next.get() - first.get()) as usize;
+        let Some(fresh) = bodies.get(skip..).filter(|b| !b.is_empty()) else {
             return Ok(progress);
         };
         // Readers hold the old state as long as they like; they never see one half applied.
@@ -90,7 +90,7 @@
             self.recent.push(body.as_ref());
         }
         progress.applied = fresh.len();
-        self.hear(state.next());
+        self.note_head(state.next());
         self.state = Arc::new(state);
         Ok(progress)
     }
@@ -99,12 +99,12 @@
     ///
     /// Failure: a snapshot from a paused writer, or from a peer that was cut off, would bring
     /// back what was changed since. An older one is never taken, so nothing reverts.
-    pub fn adopt(&mut self, state: State) -> bool {
+    pub fn install(&mut self, state: State) -> bool {
         if state.next() <= self.state.next() {
             return false;
         }
-        self.hear(state.next());
-        self.recent.restart(state.next());
+        self.note_head(state.next());
+        self.recent.reset(state.next());
         self.state = Arc::new(state);
         true
     }
--- a/crates/fleet/src/rules.rs
+++ b/crates/fleet/src/rules.rs
@@ -17,7 +17,7 @@
     }
     let mut seen = BTreeSet::new();
     for object in ticket.changes.iter().map(Change::object) {
-        if let Some(by) = ledger.toucher(&object).filter(|by| *by > ticket.ticket) {
+        if let Some(by) = ledger.last_ticket(&object).filter(|by| *by > ticket.ticket) {
             let detail = format!("{object} was set by ticket {by}");
             return Err(Refusal::new(Code::TicketStale).with_detail(detail));
         }
@@ -32,7 +32,11 @@
 /// Refuses a ticket that leaves a reference open or a budget without sense.
 ///
 /// Looks only at what the ticket touches: `next` held these rules before it.
-pub(crate) fn check_sense(ticket: &Ticket, old: &Config, next: &Config) -> Result<(), Refusal> {
+pub(crate) fn check_consistency(
+    ticket: &Ticket,
+    old: &Config,
+    next: &Config,
+) -> Result<(), Refusal> {
     ticket
         .changes
         .iter()
@@ -43,7 +47,7 @@
     match change {
         Change::Dc(_) | Change::Pool(_) | Change::Team(_) => Ok(()),
         Change::Service(x) => {
-            need(next, ObjectId::Pool(x.pool.clone()))?;
+            require(next, ObjectId::Pool(x.pool.clone()))?;
             check_budget(&x.pool, next)
         }
         Change::Key(x) => check_key(x, old, next),
@@ -53,7 +57,7 @@
 }
 
 fn check_key(key: &KeyGrant, old: &Config, next: &Config) -> Result<(), Refusal> {
-    need(next, ObjectId::Team(key.team.clone()))?;
+    require(next, ObjectId::Team(key.team.clone()))?;
     let before = old.keys.get(&key.digest);
     if before.is_some_and(|k| k.withdrawn) && !key.withdrawn {
         let detail = "a withdrawn key stays withdrawn: grant a new one";
@@ -63,8 +67,8 @@
 }
 
 fn check_instance(instance: &Instance, old: &Config, next: &Config) -> Result<(), Refusal> {
-    need(next, ObjectId::Pool(instance.pool.clone()))?;
-    need(next, ObjectId::Dc(instance.dc.clone()))?;
+    require(next, ObjectId::Pool(instance.pool.clone()))?;
+    require(next, ObjectId::Dc(instance.dc.clone()))?;
     match old.instances.get(&instance.id) {
         Some(before) if before.pool != instance.pool => check_budget(&before.pool, next),
         _ => Ok(()),
@@ -76,7 +80,7 @@
         let detail = format!("{id} to be removed");
         return Err(Refusal::new(Code::MissingReference).with_detail(detail));
     }
-    if let Some(user) = user_of(id, next) {
+    if let Some(user) = referrer(id, next) {
         let detail = format!("{user} refers to {id}");
         return Err(Refusal::new(Code::StillUsed).with_detail(detail));
     }
@@ -89,7 +93,7 @@
     }
 }
 
-fn user_of(id: &ObjectId, next: &Config) -> Option<ObjectId> {
+fn referrer(id: &ObjectId, next: &Config) -> Option<ObjectId> {
     match id {
         ObjectId::Dc(id) => next
             .instances
@@ -130,7 +134,7 @@
     Ok(())
 }
 
-fn need(next: &Config, id: ObjectId) -> Result<(), Refusal> {
+fn require(next: &Config, id: ObjectId) -> Result<(), Refusal> {
     if next.contains(&id) {
         return Ok(());
     }
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -3,10 +3,10 @@
 use cactuswheel_model::{Digest, Offset, SnapshotMark};
 
 use crate::State;
-use crate::snapshot_part::{FORMAT, PartHeader, join};
+use crate::snapshot_part::{FORMAT, PartHeader, encode};
 
 /// Bytes of one part; a record of the stream of snapshots holds one.
-const PART: usize = 256 << 10;
+const PART_BYTES: usize = 256 << 10;
 
 /// Why bytes are not a snapshot.
 #[derive(Debug, thiserror::Error)]
@@ -20,13 +20,13 @@
     /// The bytes do not decode.
     #[error("state: {0}")]
     State(#[from] serde_json::Error),
-    /// The state is of another offset than was said.
-    #[error("snapshot of {said} holds the state at {holds}")]
+    /// The state is of another offset than was claimed.
+    #[error("snapshot of {claimed} holds the state at {actual}")]
     Head {
-        /// What was said.
-        said: Offset,
+        /// What was claimed.
+        claimed: Offset,
         /// What it holds.
-        holds: Offset,
+        actual: Offset,
     },
 }
 
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Takes text that came from elsewhere and is said to hold the state at `head`.
+    /// Takes text that came from elsewhere and is claimed to hold the state at `head`.
     pub fn from_text(head: Offset, text: String) -> Self {
         Self { head, text }
     }
@@ -75,8 +75,8 @@
         let state: State = serde_json::from_str(&self.text)?;
         if state.next() != self.head {
             return Err(SnapshotError::Head {
-                said: self.head,
-                holds: state.next(),
+                claimed: self.head,
+                actual: state.next(),
             });
         }
         Ok(state)
@@ -87,7 +87,7 @@
         let mut texts = Vec::new();
         let mut rest = self.text.as_str();
         while !rest.is_empty() {
-            let (part, left) = rest.split_at(boundary(rest));
+            let (part, left) = rest.split_at(split_point(rest));
             texts.push(part);
             rest = left;
         }
@@ -100,7 +100,7 @@
         let numbered = (0..).zip(texts);
         numbered
             .map(|(part, text)| {
-                join(
+                encode(
                     &PartHeader {
                         part,
                         ..header.clone()
@@ -113,8 +113,8 @@
 }
 
 /// Where to cut a part off `text` without cutting a character in two.
-fn boundary(text: &str) -> usize {
-    let mut at = PART.min(text.len());
+fn split_point(text: &str) -> usize {
+    let mut at = PART_BYTES.min(text.len());
     while !text.is_char_boundary(at) {
         at -= 1;
     }
--- a/crates/fleet/src/snapshot_part.rs
+++ b/crates/fleet/src/snapshot_part.rs
@@ -27,21 +27,21 @@
 }
 
 /// Writes a part.
-pub(crate) fn join(header: &PartHeader, text: &str) -> String {
+pub(crate) fn encode(header: &PartHeader, text: &str) -> String {
     let line = serde_json::json!(header);
     format!("{line}\n{text}")
 }
 
 /// Reads a part.
-pub(crate) fn split(body: &str) -> Result<(PartHeader, &str), SnapshotError> {
-    let bad = |e: &str| SnapshotError::Part(e.to_owned());
-    let (line, text) = body.split_once('\n').ok_or_else(|| bad("no header"))?;
-    let header: PartHeader = serde_json::from_str(line).map_err(|e| bad(&e.to_string()))?;
+pub(crate) fn decode(body: &str) -> Result<(PartHeader, &str), SnapshotError> {
+    let invalid = |e: &str| SnapshotError::Part(e.to_owned());
+    let (line, text) = body.split_once('\n').ok_or_else(|| invalid("no header"))?;
+    let header: PartHeader = serde_json::from_str(line).map_err(|e| invalid(&e.to_string()))?;
     if header.format != FORMAT {
-        return Err(bad("unknown format"));
+        return Err(invalid("unknown format"));
     }
     if header.parts > MAX_PARTS || header.part >= header.parts {
-        return Err(bad("impossible number"));
+        return Err(invalid("impossible number"));
     }
     Ok((header, text))
 }
--- a/crates/fleet/src/snapshot_timer.rs
+++ b/crates/fleet/src/snapshot_timer.rs
@@ -7,7 +7,7 @@
 use crate::State;
 
 /// Shortest time between two tries of one node.
-const PAUSE: Duration = Duration::from_secs(10);
+const RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How much of the log a fresh node may have to read after a snapshot.
 #[derive(Debug, Clone, Copy)]
@@ -26,12 +26,12 @@
     /// Some time soon.
     Due,
     /// The log no longer keeps, or will not keep for long, what follows the last snapshot.
-    Pressing,
+    Urgent,
 }
 
 /// Decides for one node when it writes a snapshot.
 ///
-/// Every node may. The wait before writing is drawn by the caller, so mostly one writes and
+/// Every node may. The jitter before writing is drawn by the caller, so mostly one writes and
 /// the others see its mark in time; two at once are harmless.
 #[derive(Debug)]
 pub struct SnapshotTimer {
@@ -66,9 +66,9 @@
 
     /// Whether to write a snapshot of `state` now.
     ///
-    /// `first` is the oldest record that the log keeps. `wait` is a fresh draw from the time
+    /// `first` is the oldest record that the log keeps. `jitter` is a fresh draw from the time
     /// over which nodes are to be spread.
-    pub fn step(&mut self, now: Time, state: &State, first: Offset, wait: Duration) -> bool {
+    pub fn step(&mut self, now: Time, state: &State, first: Offset, jitter: Duration) -> bool {
         let last = state.snapshot().map(|s| s.head);
         if last != self.last {
             self.last = last;
@@ -76,27 +76,29 @@
             self.planned = None;
         }
         let need = self.need(now, state, first);
-        let wait = match need {
+        let jitter = match need {
             Need::None => Duration::ZERO,
-            Need::Due => wait,
-            Need::Pressing => wait / 10,
+            Need::Due => jitter,
+            Need::Urgent => jitter / 10,
         };
         // Drawn once for each degree of need; drawn anew at each step it would be the
         // shortest of many draws, and all nodes would write.
         match self.planned {
             _ if need == Need::None => self.planned = None,
-            Some((planned, at)) if planned >= need => return self.write(need, now, at, wait),
-            _ => self.planned = Some((need, now.after(wait))),
+            Some((planned, at)) if planned >= need => {
+                return self.start(need, now, at, jitter);
+            }
+            _ => self.planned = Some((need, now.after(jitter))),
         }
         false
     }
 
-    fn write(&mut self, need: Need, now: Time, at: Time, wait: Duration) -> bool {
+    fn start(&mut self, need: Need, now: Time, at: Time, jitter: Duration) -> bool {
         if now < at {
             return false;
         }
         // If it fails no mark comes, and the next try is due then.
-        self.planned = Some((need, now.after(PAUSE + wait)));
+        self.planned = Some((need, now.after(RETRY_INTERVAL + jitter)));
         true
     }
 
@@ -106,15 +108,15 @@
             return Need::None;
         }
         let last = self.last.unwrap_or_default();
-        let kept = next.get().saturating_sub(first.get());
+        let retained = next.get().saturating_sub(first.get());
         let trimmed = first > Offset::default();
         // Well inside retention: before the half of what is kept has passed over it.
-        if trimmed && last.get() < first.get() + kept / 2 && last < next {
-            return Need::Pressing;
+        if trimmed && last.get() < first.get() + retained / 2 && last < next {
+            return Need::Urgent;
         }
         // The mark itself is a record; a snapshot just before it is as good as new.
-        let fresh = next.get() - last.get().min(next.get());
-        let many = fresh >= self.policy.records;
+        let new_records = next.get() - last.get().min(next.get());
+        let many = new_records >= self.policy.records;
         let old = now.since(self.since) >= self.policy.age;
         if many || old { Need::Due } else { Need::None }
     }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -59,7 +59,7 @@
     /// A record that does not decode; every node passes over it alike.
     Undecodable(String),
     /// A record below `next`: it is in the state already.
-    Old,
+    AlreadyApplied,
 }
 
 impl State {
@@ -125,7 +125,7 @@
             self.next
         );
         if offset < self.next {
-            return Applied::Old;
+            return Applied::AlreadyApplied;
         }
         self.next = offset.next();
         match serde_json::from_str(body) {
@@ -135,7 +135,7 @@
                 Applied::Holding(self.allotments.apply(offset, &holding))
             }
             Ok(Record::Jobs(events)) => Applied::Jobs(self.apply_jobs(offset, &events)),
-            Ok(Record::Snapshot(mark)) => self.apply_mark(mark),
+            Ok(Record::Snapshot(mark)) => self.apply_snapshot_mark(mark),
             Ok(Record::Disruption(step)) => {
                 Applied::Disruption(self.apply_disruption(offset, &step))
             }
@@ -156,7 +156,7 @@
         }
         let old = self.config.clone();
         self.config.withdraw(&denial.digest);
-        self.audit.deny(at, denial, &old, &self.config);
+        self.audit.record_denial(at, denial, &old, &self.config);
         true
     }
 
@@ -167,21 +167,21 @@
     fn apply_job(&mut self, at: Offset, event: &JobEvent) -> Result<(), Refusal> {
         let team = match event {
             JobEvent::Place { job, .. } => {
-                self.check_room(&job.team)?;
+                self.check_team_limit(&job.team)?;
                 Some(&job.team)
             }
             JobEvent::End { job, .. } => Some(&job.team),
             _ => None,
         };
-        let done = self.jobs.apply(event, &self.config, &self.disruptions);
+        let result = self.jobs.apply(event, &self.config, &self.disruptions);
         if let Some(team) = team {
-            self.split_limit(at, team);
+            self.update_request_limit(at, team);
         }
-        done
+        result
     }
 
     /// Refuses a job while requests still occupy units that a ticket set aside for jobs.
-    fn check_room(&self, team: &TeamId) -> Result<(), Refusal> {
+    fn check_team_limit(&self, team: &TeamId) -> Result<(), Refusal> {
         let limit = self.config.teams.get(team).map_or(0, |t| t.limit.get());
         let split = self.allotments.split(team);
         let requests = split.map_or(0, |s| s.occupied());
@@ -193,7 +193,7 @@
 
     /// Gives requests what the limit leaves beside jobs: those set aside for, or those placed
     /// where a ticket has since set fewer aside.
-    fn split_limit(&mut self, at: Offset, team: &TeamId) {
+    fn update_request_limit(&mut self, at: Offset, team: &TeamId) {
         let placed = self.jobs.placed(team);
         let limit = self.config.teams.get(team).map_or(0, |t| {
             let jobs = t.jobs.get().max(placed);
@@ -217,7 +217,7 @@
         let fence = self.disruptions.apply(offset, step, &mut self.config)?;
         match (before, self.config.image(&object)) {
             (Some(before), Some(after)) if before != after => {
-                self.audit.moved(offset, fence, before, after);
+                self.audit.record_move(offset, fence, before, after);
             }
             _ => {}
         }
@@ -225,7 +225,7 @@
     }
 
     /// A paused writer marks an old snapshot late; the newest stays the one that counts.
-    fn apply_mark(&mut self, mark: SnapshotMark) -> Applied {
+    fn apply_snapshot_mark(&mut self, mark: SnapshotMark) -> Applied {
         let newest = self.snapshot.as_ref().map(|s| s.head);
         if newest.is_none_or(|newest| newest < mark.head) {
             self.snapshot = Some(mark);
@@ -251,7 +251,7 @@
             let refused = outcome(Refusal::new(Code::TicketUsed).with_detail(detail));
             return self.refuse(ticket, refused);
         }
-        if self.ledger.is_forgotten(ticket.ticket) {
+        if self.ledger.is_expired(ticket.ticket) {
             let detail = "its number is below all that are remembered";
             let refused = outcome(Refusal::new(Code::TicketStale).with_detail(detail));
             return self.refuse(ticket, refused);
@@ -268,27 +268,28 @@
         rules::check_order(ticket, &self.ledger)?;
         let mut next = self.config.clone();
         ticket.changes.iter().for_each(|c| next.set(c));
-        rules::check_sense(ticket, &self.config, &next)?;
+        rules::check_consistency(ticket, &self.config, &next)?;
         self.disruptions.check_ticket(ticket, &self.config, &next)?;
         Ok(next)
     }
 
     fn accept(&mut self, ticket: &Ticket, outcome: Outcome, next: Config) -> Arc<Outcome> {
-        self.audit.accept(ticket, &outcome, &self.config, &next);
-        self.disruptions.follow_ticket(ticket, &self.config, &next);
+        self.audit
+            .record_accepted(ticket, &outcome, &self.config, &next);
+        self.disruptions.apply_ticket(ticket, &self.config, &next);
         self.config = next;
         for change in &ticket.changes {
             let object = change.object();
             if let ObjectId::Team(team) = &object {
-                self.split_limit(outcome.offset, team);
+                self.update_request_limit(outcome.offset, team);
             }
-            self.ledger.touch(object, ticket.ticket);
+            self.ledger.record_change(object, ticket.ticket);
         }
         Arc::new(outcome)
     }
 
     fn refuse(&mut self, ticket: &Ticket, outcome: Outcome) -> Arc<Outcome> {
-        self.audit.refuse(ticket, &outcome);
+        self.audit.record_refused(ticket, &outcome);
         Arc::new(outcome)
     }
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether both share their content; content that is merely equal does not count.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn ptr_eq(&self, other: &Self) -> bool {
         self.rows.ptr_eq(&other.rows)
     }
 
--- a/crates/maintenance/examples/rollout.rs
+++ b/crates/maintenance/examples/rollout.rs
@@ -155,7 +155,7 @@
     }
 
     fn left(&self) -> usize {
-        let turn = |id| self.state.disruptions().turn(id).is_none();
+        let turn = |id| self.state.disruptions().last_wave(id).is_none();
         self.workers.keys().filter(|id| turn(id)).count()
     }
 
--- a/crates/maintenance/src/driver.rs
+++ b/crates/maintenance/src/driver.rs
@@ -71,7 +71,7 @@
     /// Instances that worker control is to be asked about before the next step.
     pub fn watched(&self, state: &cactuswheel_fleet::State) -> Vec<InstanceId> {
         let mut watched: Vec<_> = self.released.iter().cloned().collect();
-        let holds = state.disruptions().holds();
+        let holds = state.disruptions().outages();
         watched.extend(holds.map(|hold| hold.instance.clone()));
         let instances = &state.config().instances;
         let next = self.steps % instances.len().max(1);
@@ -129,9 +129,12 @@
 
     fn note_released(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
-        let ended = self.held.iter().filter(|id| disruptions.hold(id).is_none());
+        let ended = self
+            .held
+            .iter()
+            .filter(|id| disruptions.outage(id).is_none());
         self.released.extend(ended.cloned());
-        self.held = disruptions.holds().map(|h| h.instance.clone()).collect();
+        self.held = disruptions.outages().map(|h| h.instance.clone()).collect();
     }
 
     /// Lifts drains that no grant stands behind any more.
@@ -142,7 +145,7 @@
     fn lift_drains(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
         for (id, look) in view.looks {
-            let hold = disruptions.hold(id);
+            let hold = disruptions.outage(id);
             if let crate::Activity::Draining(fence) = look.activity {
                 let needed = hold.is_some_and(|h| {
                     h.fence >= fence && matches!(h.stage, Stage::Draining(_) | Stage::Rebooting(_))
--- a/crates/maintenance/src/losses.rs
+++ b/crates/maintenance/src/losses.rs
@@ -17,7 +17,7 @@
     }
 
     fn is_lost(&mut self, view: &View<'_>, instance: &Instance) -> bool {
-        let hold = view.state.disruptions().hold(&instance.id);
+        let hold = view.state.disruptions().outage(&instance.id);
         let seen = view.seen.get(&instance.id);
         let missing = match hold.map(|h| &h.stage) {
             None | Some(Stage::Draining(_)) => seen.is_none_or(|s| !s.live),
@@ -27,7 +27,7 @@
     }
 
     fn report(&mut self, view: &View<'_>, instance: &Instance) {
-        let known = view.state.disruptions().life(&instance.id);
+        let known = view.state.disruptions().last_incarnation(&instance.id);
         let seen = view.seen.get(&instance.id).map(|s| s.incarnation);
         let lost = Disruption::Lost {
             instance: instance.id.clone(),
--- a/crates/maintenance/src/outages.rs
+++ b/crates/maintenance/src/outages.rs
@@ -1,6 +1,6 @@
 //! Carrying outages that are under way to their end.
 
-use cactuswheel_fleet::{Budget, Hold, Stage};
+use cactuswheel_fleet::{Budget, Outage, Stage};
 use cactuswheel_model::{Disruption, Map, PoolId, Purpose};
 
 use crate::driver::{Mark, Step};
@@ -11,11 +11,11 @@
     pub(crate) fn carry_on(&mut self, view: &View<'_>) {
         self.overdue.clear();
         let disruptions = view.state.disruptions();
-        if disruptions.holds().next().is_none() {
+        if disruptions.outages().next().is_none() {
             return;
         }
         let budgets = disruptions.budgets(view.state.config());
-        for hold in disruptions.holds() {
+        for hold in disruptions.outages() {
             if self.is_back(view, hold) {
                 self.bring_back(view, hold);
                 continue;
@@ -32,7 +32,7 @@
     }
 
     /// Whether an instance has looked healthy for long enough.
-    fn is_back(&mut self, view: &View<'_>, hold: &Hold) -> bool {
+    fn is_back(&mut self, view: &View<'_>, hold: &Outage) -> bool {
         let Some(seen) = view.seen.get(&hold.instance) else {
             return false;
         };
@@ -50,7 +50,7 @@
         healthy >= self.settings.settle
     }
 
-    fn bring_back(&mut self, view: &View<'_>, hold: &Hold) {
+    fn bring_back(&mut self, view: &View<'_>, hold: &Outage) {
         let Some(seen) = view.seen.get(&hold.instance) else {
             return;
         };
@@ -62,7 +62,7 @@
         self.propose(view, hold.fence, Step::Back, back);
     }
 
-    fn drain(&mut self, view: &View<'_>, hold: &Hold, pointless: bool) {
+    fn drain(&mut self, view: &View<'_>, hold: &Outage, pointless: bool) {
         let waited = self.held(view, &hold.instance, Mark::Draining(hold.fence));
         let Some(look) = view.looks.get(&hold.instance) else {
             return;
@@ -99,7 +99,7 @@
     }
 
     /// Orders a reboot that is committed in the newest fold, bound to the life of the grant.
-    fn reboot(&mut self, view: &View<'_>, hold: &Hold) {
+    fn reboot(&mut self, view: &View<'_>, hold: &Outage) {
         let away = self.held(view, &hold.instance, Mark::Away(hold.fence));
         if away >= self.settings.overdue {
             self.overdue.push(hold.instance.clone());
@@ -117,7 +117,7 @@
 /// more, or losses fill the budget.
 fn is_pointless(
     view: &View<'_>,
-    hold: &Hold,
+    hold: &Outage,
     purpose: &Purpose,
     budgets: &Map<PoolId, Budget>,
 ) -> bool {
@@ -131,7 +131,7 @@
         }
     }
     if let Purpose::Move { from, to } = purpose {
-        let wanted = disruptions.wishes().iter();
+        let wanted = disruptions.wanted_moves().iter();
         let mut same = wanted.filter(|w| w.from == *from && w.to == *to);
         if !same.any(|w| w.instance == hold.instance) {
             return true;
@@ -143,7 +143,7 @@
     budget.is_some_and(|b| b.excess(0).is_some())
 }
 
-fn order(verb: Verb, hold: &Hold) -> Order {
+fn order(verb: Verb, hold: &Outage) -> Order {
     Order {
         verb,
         instance: hold.instance.clone(),
--- a/crates/maintenance/src/rollout.rs
+++ b/crates/maintenance/src/rollout.rs
@@ -12,7 +12,7 @@
     let budgets = state.disruptions().budgets(state.config());
     let mut longest = Duration::ZERO;
     for budget in budgets.values() {
-        let at_once = budget.most().min(budget.members);
+        let at_once = budget.allowed().min(budget.members);
         if at_once == 0 {
             return None;
         }
--- a/crates/maintenance/src/starts.rs
+++ b/crates/maintenance/src/starts.rs
@@ -12,7 +12,7 @@
         let disruptions = view.state.disruptions();
         let wave = disruptions.wave();
         let left = wave.map(|w| remaining(view, w)).unwrap_or_default();
-        if left.is_empty() && disruptions.wishes().is_empty() {
+        if left.is_empty() && disruptions.wanted_moves().is_empty() {
             return wave.map_or((), |wave| self.start_next(view, wave));
         }
         let mut room = Room {
@@ -30,12 +30,12 @@
     /// Losses do not hold moves up: moves may be what mends them. The fold judges each again.
     fn start_moves(&mut self, view: &View<'_>, room: &mut Room) {
         let (state, config) = (view.state, view.state.config());
-        for wish in state.disruptions().wishes() {
+        for wish in state.disruptions().wanted_moves() {
             let Some(instance) = config.instances.get(&wish.instance) else {
                 continue;
             };
             let disruptions = state.disruptions();
-            let held = disruptions.hold(&wish.instance).is_some();
+            let held = disruptions.outage(&wish.instance).is_some();
             let leaves = disruptions.check_leaving(&wish.instance, &wish.from, config);
             if held || leaves.is_err() || self.is_postponed(view, instance) {
                 continue;
@@ -79,7 +79,7 @@
         if view.age > self.settings.fresh {
             return Some(Reason::PlatformSilent(view.age));
         }
-        let lost = disruptions.holds().filter(|h| h.stage == Stage::Lost);
+        let lost = disruptions.outages().filter(|h| h.stage == Stage::Lost);
         let lost = lost.count();
         let most = view.state.config().instances.len() * self.settings.burst / 1_000;
         let most = most.max(4);
@@ -159,8 +159,8 @@
     let disruptions = view.state.disruptions();
     let instances = view.state.config().instances.values().map(|i| &**i);
     instances
-        .filter(|i| disruptions.turn(&i.id).is_none_or(|n| n < wave.number))
-        .filter(|i| disruptions.hold(&i.id).is_none())
+        .filter(|i| disruptions.last_wave(&i.id).is_none_or(|n| n < wave.number))
+        .filter(|i| disruptions.outage(&i.id).is_none())
         .collect()
 }
 
@@ -185,7 +185,7 @@
 }
 
 fn planned(view: &View<'_>) -> usize {
-    let holds = view.state.disruptions().holds();
+    let holds = view.state.disruptions().outages();
     let planned = holds.filter(|h| matches!(h.stage, Stage::Draining(_) | Stage::Rebooting(_)));
     planned.count()
 }
--- a/crates/scheduling/src/planner.rs
+++ b/crates/scheduling/src/planner.rs
@@ -201,7 +201,7 @@
     let instance = state.config().instances.get(&life.id)?;
     let whole = Room::of(instance);
     let load = state.jobs().worker(&life.id);
-    if load.is_some_and(|w| !w.takes_work()) {
+    if load.is_some_and(|w| !w.accepts_work()) {
         return None;
     }
     Some(Slot {
