--- a/crates/fleet/src/allotments.rs
+++ b/crates/fleet/src/allotments.rs
@@ -5,6 +5,10 @@
 //! tickets and from what lives report. A life obeys a new cap as soon as it has read it. Units
 //! that the life may still be using stay occupied until it reports that they are free, or until
 //! its peers in the same data centre confirm that it has nothing running.
+//!
+//! A life that hears neither the log nor a peer of its data centre for its `fence` time starts no
+//! more requests. A peer that answers it therefore renews it, and such a confirmation is valid
+//! only once the last renewal and the requests started under it have run out.
 
 mod life;
 mod row;
@@ -221,7 +225,7 @@
 
     /// Removes a life that is gone for good, and frees all its units.
     ///
-    /// It may have been a witness for another revoked life and may have renewed that life up to
+    /// Other revoked lives may still wait for its confirmation, and it may have renewed them up to
     /// its own end. Treating its end as a confirmation would free units that are in use. It renews
     /// no life after its end, so the waiting times of the other revoked lives restart here.
     fn release(&mut self, at: Offset, id: &LifeId) -> bool {
--- a/crates/fleet/src/allotments/life.rs
+++ b/crates/fleet/src/allotments/life.rs
@@ -16,8 +16,8 @@
     pub joined: Offset,
     /// Offset of the record that revoked it; a revocation is never undone.
     pub revoked: Option<Offset>,
-    /// Offset from whose reading on its peers count the waiting time: the revocation, or the later
-    /// end or replacement of a peer.
+    /// Offset of the revocation, or of the later end or replacement of a peer. Each peer counts
+    /// the waiting time from when it reads the record at this offset.
     pub since: Offset,
     /// Whether another process has since joined under the same entry name.
     pub(crate) replaced: bool,
--- a/crates/fleet/src/allotments/row.rs
+++ b/crates/fleet/src/allotments/row.rs
@@ -26,8 +26,8 @@
     ///
     /// A report written before `cap` was raised may arrive after the raise. Counting it would free
     /// units that the life has begun to use, and the team would exceed its limit. A report
-    /// therefore counts only if its epoch is that of the current `cap`: since it read this value
-    /// the life has started nothing above `cap`, so the number in use above `cap` can only have
+    /// therefore counts only if its epoch is that of the current `cap`: since the life read this
+    /// value, it has started nothing above `cap`, so the number in use above `cap` can only have
     /// fallen.
     pub(crate) fn report(&mut self, usage: &Usage) -> bool {
         let before = *self;
--- a/crates/fleet/src/allotments/split.rs
+++ b/crates/fleet/src/allotments/split.rs
@@ -97,7 +97,7 @@
     fn raise(&self, total: u32, next: &mut [u32], shares: &[u32], wants: &[u32]) {
         let mut free = self.limit.saturating_sub(self.occupied());
         let mut room = total.saturating_sub(next.iter().sum());
-        let wanted: Vec<u32> = shares.iter().zip(wants).map(|(g, w)| *g.min(w)).collect();
+        let wanted: Vec<u32> = shares.iter().zip(wants).map(|(s, w)| *s.min(w)).collect();
         for targets in [wanted.as_slice(), shares] {
             for (i, row) in self.rows.values().enumerate() {
                 // Up to the number of occupied units a higher cap takes nothing from other lives.
@@ -116,7 +116,7 @@
 /// each lowered cap needs a report from its life in the log before the units are free.
 fn lower(total: u32, next: &mut [u32], shares: &[u32], wants: &[u32]) {
     let sum: u32 = next.iter().sum();
-    let short = |((n, g), w): ((&u32, &u32), &u32)| (*g).min(*w).saturating_sub(*n);
+    let short = |((n, s), w): ((&u32, &u32), &u32)| (*s).min(*w).saturating_sub(*n);
     let wanted: u32 = next.iter().zip(shares).zip(wants).map(short).sum();
     let spare = total.saturating_sub(sum);
     let mut need = wanted.saturating_sub(spare) + sum.saturating_sub(total);
--- a/crates/fleet/src/disruptions.rs
+++ b/crates/fleet/src/disruptions.rs
@@ -80,7 +80,7 @@
 
     /// All instances that must get no new work because of a planned outage.
     pub fn drained(&self) -> impl Iterator<Item = &InstanceId> {
-        let planned = self.outages.iter().filter(|(_, h)| h.stage != Stage::Lost);
+        let planned = self.outages.iter().filter(|(_, o)| o.stage != Stage::Lost);
         planned.map(|(id, _)| id)
     }
 
--- a/crates/fleet/src/disruptions/tickets.rs
+++ b/crates/fleet/src/disruptions/tickets.rs
@@ -36,11 +36,12 @@
                     let before = old.instances.get(&x.id).map(|i| &i.pool);
                     let draining = self
                         .outage(&x.id)
-                        .is_some_and(|h| matches!(h.stage, Stage::Draining(_)));
+                        .is_some_and(|o| matches!(o.stage, Stage::Draining(_)));
                     if before != next.instances.get(&x.id).map(|i| &i.pool) {
                         self.drop_move(&x.id);
                     }
-                    // The budget of the old pool granted this drain. Its commit is refused from here on.
+                    // The budget of the old pool granted this drain. From here on its commit is
+                    // refused.
                     if draining && before != next.instances.get(&x.id).map(|i| &i.pool) {
                         self.outages.remove(&x.id);
                     }
@@ -56,7 +57,7 @@
     /// again under the same name, a driver that was paused could still reboot it: an outage that
     /// no budget counts. The instance has to be seen healthy again first.
     fn check_removable(&self, id: &InstanceId) -> Result<(), Refusal> {
-        match self.outage(id).map(|h| &h.stage) {
+        match self.outage(id).map(|o| &o.stage) {
             Some(Stage::Rebooting(_)) => Err(refuse(
                 Code::InstanceHeld,
                 format!("{id} is being rebooted"),
--- a/crates/fleet/tests/audit.rs
+++ b/crates/fleet/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: what changed, who did it, and what was refused.
+//! The audit trail: what changed, who changed it, and what was refused.
 
 use cactuswheel_fleet::{Snapshot, State};
 use cactuswheel_model::{Code, Digest, ObjectId, Offset};
--- a/crates/fleet/tests/tickets.rs
+++ b/crates/fleet/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Rules for tickets, by example.
+//! The rules for tickets, by example.
 
 use cactuswheel_fleet::{Applied, State};
 use cactuswheel_model::{Code, Offset};
