--- a/crates/fleet/src/allotments.rs
+++ b/crates/fleet/src/allotments.rs
@@ -7,8 +7,8 @@
 //! its peers in the same data centre confirm that it has nothing running.
 //!
 //! A life that hears neither the log nor a peer of its data centre for its `fence` time starts no
-//! more requests. A peer that answers it therefore renews it, and such a confirmation is valid
-//! only once the last renewal and the requests started under it have run out.
+//! more requests. A peer that answers it therefore renews it, and may confirm that it has nothing
+//! running only once the last renewal and the requests started under it have run out.
 
 mod life;
 mod row;
