--- a/crates/cell/src/losses.rs
+++ b/crates/cell/src/losses.rs
@@ -1,38 +1,49 @@
-//! Runs that are gone without an end: their worker ended, or is out of reach for longer than any lease.
+//! Runs that are lost without an end record, because their worker ended or could not be reached
+//! for longer than any lease.
 
 use cactuswheel_work::{TaskId, WorkerId};
 
 use crate::cell::Cell;
 
 impl Cell {
-    /// Every lease on a silent worker has run out; what was done there before may still be listed.
-    pub(crate) fn give_up(&mut self, id: &WorkerId) {
+    /// Gives up the runs of a worker that does not answer and whose leases have all expired. The
+    /// worker may still report later that they completed earlier.
+    pub(crate) fn abandon_runs(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let runs: Vec<(TaskId, u32)> = worker.held.iter().map(|(t, h)| (*t, h.run)).collect();
+        let runs: Vec<(TaskId, u32)> = worker
+            .allocations
+            .iter()
+            .map(|(t, h)| (*t, h.run))
+            .collect();
         for (task, _) in &runs {
             let job = self.jobs.get_mut(&task.job());
             if let Some(state) = job.and_then(|j| j.task_mut(*task)) {
-                state.given_up = true;
+                state.abandoned = true;
             }
         }
         let blamed = self.count_crash(id, &runs, &[], false);
-        self.remember_given_up(id, &runs);
-        self.lose(id, runs, "lease expired");
-        self.give_up_jobs(&blamed);
+        self.remember_abandoned(id, &runs);
+        self.lose_runs(id, runs, "lease expired");
+        self.fail_crashing_jobs(&blamed);
     }
 
-    /// Everything on a worker is gone.
+    /// Declares all runs of a worker lost.
     pub(crate) fn lose_all(&mut self, id: &WorkerId, why: &str) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let runs = worker.held.iter().map(|(t, h)| (*t, h.run)).collect();
-        self.lose(id, runs, why);
+        let runs = worker
+            .allocations
+            .iter()
+            .map(|(t, h)| (*t, h.run))
+            .collect();
+        self.lose_runs(id, runs, why);
     }
 
-    /// A worker's life has ended under these runs; those in `doubtful` may be in its next one.
+    /// Handles the end of a worker's incarnation: `runs` are lost, while those in `doubtful` may
+    /// be running in the next incarnation.
     pub(crate) fn worker_ended(
         &mut self,
         id: &WorkerId,
@@ -46,13 +57,14 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let alive = worker.alive;
-        // A worker that is only closed goes on until its instance is ordered away.
-        let planned = worker.ordered || worker.is_draining();
+        let alive = worker.last_alive;
+        // A worker that is merely closed keeps running until its instance is ordered to move
+        // away.
+        let planned = worker.removing || worker.is_draining();
         let silent = self.now.since(alive).as_millis() as u64;
-        let held = runs.iter().chain(doubtful);
-        let attempts = held.filter_map(|(t, run)| self.attempt(*t, *run, id));
-        let unproven = attempts.filter(|a| !a.is_proven(alive)).count() as u64;
+        let affected = runs.iter().chain(doubtful);
+        let attempts = affected.filter_map(|(t, run)| self.attempt(*t, *run, id));
+        let unproven = attempts.filter(|a| !a.passed_probation(alive)).count() as u64;
         log::warn!(
             worker:% = id, why:% = why, runs = runs.len() as u64,
             doubtful = doubtful.len() as u64, unproven = unproven, silent_ms = silent,
@@ -60,53 +72,61 @@
             "worker ended"
         );
         if !planned {
-            self.tallies.ended += 1;
-            self.tallies.lost += runs.len() as u64;
+            self.tallies.workers_ended += 1;
+            self.tallies.runs_lost += runs.len() as u64;
             if let Some(addr) = worker.addr {
-                self.note_crashed(addr);
+                self.record_crash_addr(addr);
             }
         }
         let blamed = match planned {
             true => Vec::new(),
             false => self.count_crash(id, &runs, doubtful, true),
         };
-        self.lose(id, runs, why);
-        self.give_up_jobs(&blamed);
+        self.lose_runs(id, runs, why);
+        self.fail_crashing_jobs(&blamed);
     }
 
-    /// Runs on a worker are gone without an end.
-    fn lose(&mut self, id: &WorkerId, runs: Vec<(TaskId, u32)>, why: &str) {
-        let alive = self.workers.get(id).map(|w| w.alive).unwrap_or_default();
+    /// Declares runs of a worker lost and releases them.
+    fn lose_runs(&mut self, id: &WorkerId, runs: Vec<(TaskId, u32)>, why: &str) {
+        let alive = self
+            .workers
+            .get(id)
+            .map(|w| w.last_alive)
+            .unwrap_or_default();
         for (task, run) in runs {
             if let Some(attempt) = self.attempt(task, run, id) {
                 let age = self.now.since(attempt.started).as_millis() as u64;
                 log::info!(
                     task:% = task, run = run, worker:% = id, why:% = why, age_ms = age,
-                    proven = attempt.is_proven(alive);
+                    proven = attempt.passed_probation(alive);
                     "run lost"
                 );
             }
             self.release(task, run, id);
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.drop_run(task, run);
+                worker.deallocate(task, run);
             }
         }
     }
 
-    /// A worker's life is newer than what is believed of it: runs that were listed in an earlier
-    /// life are gone.
+    /// Handles a new incarnation of a worker: runs that were listed in an earlier one are lost.
     ///
-    /// Failure: a worker starts again under its name, and orders that were meant for its
-    /// earlier life are carried out in the new one. Given up as lost with that life, their
-    /// tasks would run a second time beside them. A run that was never listed may be there, so it
-    /// counts as the new life's until the lists or the order's answer settle it.
-    pub(crate) fn lose_older(&mut self, id: &WorkerId, born: u64) {
+    /// When a worker restarts under the same name, orders meant for the earlier incarnation may
+    /// be carried out by the new one. Declaring such runs lost would start their tasks a second
+    /// time beside them. A run that was never listed may therefore be in the new incarnation. It
+    /// is treated as part of it until the worker's lists or the answer to its order show
+    /// otherwise.
+    pub(crate) fn lose_older_runs(&mut self, id: &WorkerId, born: u64) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let held: Vec<(TaskId, u32)> = worker.held.iter().map(|(t, h)| (*t, h.run)).collect();
-        let (mut gone, mut doubtful) = (Vec::new(), Vec::new());
-        for (task, run) in held {
+        let runs: Vec<(TaskId, u32)> = worker
+            .allocations
+            .iter()
+            .map(|(t, h)| (*t, h.run))
+            .collect();
+        let (mut lost, mut doubtful) = (Vec::new(), Vec::new());
+        for (task, run) in runs {
             if let Some(attempt) = self.attempt_mut(task, run, id).filter(|c| !c.listed) {
                 if std::mem::replace(&mut attempt.born, born) != born {
                     doubtful.push((task, run));
@@ -119,20 +139,20 @@
             {
                 continue;
             }
-            gone.push((task, run));
+            lost.push((task, run));
         }
-        self.worker_ended(id, gone, &doubtful, "another life under its name");
+        self.worker_ended(id, lost, &doubtful, "new incarnation under its name");
     }
 
-    /// Lasting runs leave a worker that leaves.
-    pub(crate) fn leave(&mut self, id: &WorkerId) {
+    /// Stops the long-running runs of a worker that is draining.
+    pub(crate) fn stop_lasting(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let lasting = worker.held.iter().filter(|(_, h)| h.lasting);
+        let lasting = worker.allocations.iter().filter(|(_, h)| h.lasting);
         let lasting: Vec<(TaskId, u32)> = lasting.map(|(t, h)| (*t, h.run)).collect();
         for (task, run) in lasting {
-            log::info!(task:% = task, run = run, worker:% = id; "run leaves a leaving worker");
+            log::info!(task:% = task, run = run, worker:% = id; "stopping long-running run on draining worker");
             self.stop(task, run, id);
         }
     }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances, for the cell's owner: lists them, carries out what the planner asks for.
+//! The owner's control of instances: lists them and executes the planner's actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,129 +22,146 @@
 use crate::shared::Shared;
 use crate::topics::{MAINTAINED, WAVES};
 
-/// Time between plans.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
+/// Interval between plans.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between lists while something is on the way, and while nothing is.
-const LIST_BUSY: Duration = Duration::from_millis(300);
-const LIST_IDLE: Duration = Duration::from_millis(1_000);
+/// Interval between lists of instances while the list is changing.
+const BUSY_LIST_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Interval between lists of instances while the list stays the same.
+const IDLE_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Share of the link that lists of instances may take up.
 ///
-/// Failure: a list of every instance takes up a third of what the owner reads, three times a
-/// second; on a narrow link orders and renewals of the ownership wait behind it.
-const LIST_SHARE: f64 = 0.05;
+/// Without this limit, a list of every instance three times a second would make up a third of what
+/// the owner reads, and on a narrow link orders and renewals of the ownership would wait behind it.
+const LIST_LINK_SHARE: f64 = 0.05;
 
-/// Bytes a second that lists of instances may take whatever the link: what a list shows sooner
-/// changes little, since orders and arrivals are known without it.
-const LIST_RATE: f64 = 200_000.0;
+/// Upper limit of the rate of lists on any link, in bytes a second. More frequent lists would bring
+/// little, since orders and arrivals are known without them.
+const MAX_LIST_RATE: f64 = 200_000.0;
 
-/// About what an instance takes up in the list, in bytes.
-const LISTED: usize = 200;
+/// Approximate size of an instance in the list, in bytes.
+const INSTANCE_SIZE: usize = 200;
 
-/// Longest time between lists: nothing is ordered by an older one.
-const LIST_MOST: Duration = Duration::from_millis(1_500);
+/// Upper limit of the interval between lists, since the planner orders nothing by an old list.
+const MAX_LIST_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// Time for an answer of the platform.
-const TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout of a call to the platform's instance service.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Margin on the time for which orders to an instance have to come from one node, beside the time
-/// that an order may take from its record to its way.
-const ORDER_MARGIN: Duration = Duration::from_millis(400);
+/// Margin on the time for which an instance stays reserved after an order, on top of the order time
+/// in the settings and the timeout of the call that issues the order.
+const RESERVATION_MARGIN: Duration = Duration::from_millis(400);
 
-/// Status of an order that was not given, since it is not on record.
+/// Status of an order that was not issued, because it was not recorded or the ownership has ended.
 const NOT_RECORDED: u16 = 0;
 
-/// Bits of an order's token below the owner's epoch.
+/// Number of low bits of an order token that count an owner's orders; the bits above hold the
+/// epoch.
 const TOKEN_BITS: u32 = 20;
 
-/// Where the waves' status is told.
-const STATUS: Partition = Partition {
+/// Partition in which the status of waves is published.
+const WAVE_STATUS: Partition = Partition {
     topic: STATUS_TOPIC,
     part: 0,
 };
 
-/// The owner's part in what instances do.
+/// The owner's control of instances.
 pub(crate) struct Fleet {
     shared: Arc<Shared>,
     planner: Planner,
-    /// Each instance has one order under way at the most, so there are never many.
-    orders: mpsc::UnboundedSender<Vec<Issued>>,
-    /// When each wave began.
+    /// Planned orders on their way to the task that issues them. The queue is unbounded, but each
+    /// instance has at most one order in flight.
+    orders: mpsc::UnboundedSender<Vec<QueuedOrder>>,
+    /// Records when each wave began.
     waves: RecordWriter,
-    /// Instances that had their maintenance.
+    /// Records instances that have been maintained.
     maintained: RecordWriter,
-    /// What the operators are told of waves.
+    /// Publishes the status of waves to the operators.
     status: RecordWriter,
+    /// The newest list of instances.
     instances: Vec<Instance>,
-    listed: Time,
-    planned: Time,
-    /// Instances that an earlier owner ordered of late: nobody else may until then.
+    /// When the request for that list was sent.
+    listed_at: Time,
+    /// When the planner last ran.
+    planned_at: Time,
+    /// Instances that an earlier owner ordered recently, and until when they are reserved: no
+    /// orders are issued to them before then.
     ///
-    /// Failure: two owners order one instance within seconds of each other, and it is moved
-    /// back and forth under its work. An order is on record before it is given, so what is not
-    /// on record here no earlier owner has ordered.
+    /// Otherwise two owners could order the same instance within seconds of each other, and it
+    /// would be moved back and forth while it has work. An order is recorded before it is issued,
+    /// so an earlier owner cannot have ordered an instance that has no record here.
     reserved: Map<InstanceName, Reservation>,
-    /// Until then no instance may be ordered.
-    barred: Time,
-    /// Pause after the store has turned the record of orders away.
+    /// No instance may be ordered before this time.
+    blocked_until: Time,
+    /// Backoff after orders that could not be recorded or issued.
     backoff: Backoff,
+    /// Fencing token of the last order.
     token: u64,
 }
 
 impl Fleet {
-    /// Starts listing; `past` is what earlier owners have seen.
+    /// Starts the tasks that list instances, issue orders and write records. `history` and `orders`
+    /// are what earlier owners have recorded; `orders` is `None` if they could not be read, and
+    /// `last` is what is known of the previous owner. Returns `None` if the settings name no
+    /// instance service.
     pub(crate) fn start(
         shared: Arc<Shared>,
         events: mpsc::Sender<Event>,
         epoch: u64,
-        past: History,
+        history: History,
         orders: Option<Vec<(InstanceName, OrderRecord)>>,
         last: Option<LastOwner>,
     ) -> Option<Self> {
         let addr = shared.settings.instances?;
         let service = Arc::new(Instances::new(addr));
-        tokio::spawn(list(shared.clone(), service.clone(), events.clone()));
+        tokio::spawn(list_instances(
+            shared.clone(),
+            service.clone(),
+            events.clone(),
+        ));
         let times = Timings {
             maintenance: shared.settings.times.maintenance,
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
         let (ordering, queue) = mpsc::unbounded_channel();
-        tokio::spawn(order(shared.clone(), service, events.clone(), queue));
-        let wait = shared.settings.times.order.duration() + TIMEOUT + ORDER_MARGIN;
+        tokio::spawn(issue_orders(shared.clone(), service, events.clone(), queue));
+        let wait = shared.settings.times.order.duration() + CALL_TIMEOUT + RESERVATION_MARGIN;
         let now = shared.clock.now();
-        // Nobody knows what was ordered of late: anything may have been.
-        let barred = orders.is_none().then(|| now.after(wait));
+        // Without the records, any instance may have been ordered recently.
+        let blocked = orders.is_none().then(|| now.after(wait));
         let reserved = reservations(now, wait, orders.unwrap_or_default(), last);
         log::info!(
-            instances = reserved.len() as u64, dated = last.is_some(), known = barred.is_none();
+            instances = reserved.len() as u64, dated = last.is_some(), known = blocked.is_none();
             "instances reserved"
         );
         Some(Self {
             reserved,
-            barred: barred.unwrap_or_default(),
-            planner: Planner::new(times, past).with_policy(policy),
+            blocked_until: blocked.unwrap_or_default(),
+            planner: Planner::new(times, history).with_policy(policy),
             instances: Vec::new(),
-            listed: Time::default(),
-            planned: Time::default(),
+            listed_at: Time::default(),
+            planned_at: Time::default(),
             backoff: Backoff::default(),
             token: epoch << TOKEN_BITS,
             orders: ordering,
             waves: writer(WAVES),
             maintained: writer(MAINTAINED),
-            status: writer(STATUS),
+            status: writer(WAVE_STATUS),
             shared,
         })
     }
 
-    pub(crate) fn listed(&mut self, instances: Vec<Instance>, sent: Time) {
+    /// Takes a new list of instances, requested at `sent`.
+    pub(crate) fn set_instances(&mut self, instances: Vec<Instance>, sent: Time) {
         self.instances = instances;
-        self.listed = sent;
+        self.listed_at = sent;
     }
 
-    /// What became of an order.
-    pub(crate) fn ordered(
+    /// Handles the outcome of an order.
+    pub(crate) fn order_done(
         &mut self,
         cell: &mut Cell,
         order: &InstanceOrder,
@@ -159,7 +176,7 @@
             _ => self.backoff.accepted(),
         }
         self.planner
-            .record_outcome(self.shared.clock.now(), name(order), outcome);
+            .record_outcome(self.shared.clock.now(), instance_of(order), outcome);
         let Some(worker) = worker else {
             return;
         };
@@ -170,20 +187,23 @@
         }
     }
 
-    /// Plans, if it is time, and sets the plan going.
+    /// Runs the planner if [`PLAN_INTERVAL`] has passed, and executes its actions.
     pub(crate) fn plan(&mut self, cell: &mut Cell) {
         let now = self.shared.clock.now();
-        if now.since(self.planned) < PLAN_EVERY {
+        if now.since(self.planned_at) < PLAN_INTERVAL {
             return;
         }
-        self.planned = now;
-        // Another node may own the cell by then.
-        if !self.shared.holds_ownership() || now < self.barred || !self.backoff.is_elapsed(now) {
+        self.planned_at = now;
+        // Without a confirmed ownership, another node may own the cell already.
+        if !self.shared.holds_ownership()
+            || now < self.blocked_until
+            || !self.backoff.is_elapsed(now)
+        {
             return;
         }
         let waves = self.shared.waves.load_full().unwrap_or_default();
         let (loads, workers) = (cell.loads(), cell.workers());
-        let spare = self.spare();
+        let spare = self.spare_services();
         self.reserved.retain(|_, r| r.until > now);
         let reserved = self.reserved.iter().map(|(name, r)| (name.clone(), r.wave));
         let reserved = reserved.collect();
@@ -193,7 +213,7 @@
             loads: &loads,
             workers: &workers,
             instances: &self.instances,
-            listed: self.listed,
+            listed: self.listed_at,
             waves: &waves,
             spare: &spare,
             reserved: &reserved,
@@ -205,11 +225,12 @@
         }
         cell.expect_maintenance(self.planner.maintenance_due());
         if !orders.is_empty() && self.orders.send(orders).is_err() {
-            log::error!("orders to instances are carried out no more");
+            log::error!("instance orders dropped: the task that issues them has ended");
         }
     }
 
-    fn spare(&self) -> Vec<ServiceName> {
+    /// Names of the spare services, whose instances are off until they are moved to another pool.
+    fn spare_services(&self) -> Vec<ServiceName> {
         let Some(config) = self.shared.config.load_full() else {
             return Vec::new();
         };
@@ -217,17 +238,18 @@
         spare.map(|s| s.name.clone()).collect()
     }
 
-    fn execute(&mut self, cell: &mut Cell, action: Action, orders: &mut Vec<Issued>) {
+    /// Executes an action of the planner; orders are collected in `orders`.
+    fn execute(&mut self, cell: &mut Cell, action: Action, orders: &mut Vec<QueuedOrder>) {
         match action {
             Action::Order { order, worker } => {
-                // Nothing starts there between now and the order's arrival.
+                // No run may start on the worker between now and the order's arrival.
                 if let Some(worker) = &worker {
-                    cell.send_away(worker);
+                    cell.begin_removal(worker);
                 }
-                // Each order has a token of its own: an earlier one that is carried out late is
-                // shut out by the later, and cannot take the instance back.
+                // Each order has its own token, so that an earlier order that arrives late is
+                // fenced off by a later one and cannot move the instance back.
                 self.token += 1;
-                orders.push(Issued {
+                orders.push(QueuedOrder {
                     order,
                     worker,
                     token: OrderToken {
@@ -248,7 +270,7 @@
                 self.maintained.write(Keyed::new(key, vec![1]));
             }
             Action::ReportStatus { wave, complete } => {
-                log::info!(wave = wave, complete = complete; "wave told of");
+                log::info!(wave = wave, complete = complete; "publishing wave status");
                 let (key, value) = wave_status(wave, complete);
                 self.status.write(Keyed::new(key, value));
             }
@@ -256,16 +278,17 @@
     }
 }
 
-/// Puts orders on record, then gives them, until nobody owns the cell here any more.
+/// Records orders and then issues them, until this node no longer runs the cell.
 ///
-/// Failure: the store takes a quarter of a second for an append, one at a time, each plan appends
-/// its own orders, and those of a queue's first second are given up unrecorded. Plans that come
-/// while an append is under way go into the next one together.
-async fn order(
+/// An append to the store can take a quarter of a second, and the store handles one at a time. If
+/// each plan appended its own orders, those of the first second of a queue would time out before
+/// they are recorded. The orders of all plans that arrive during an append are therefore recorded
+/// together in the next one.
+async fn issue_orders(
     shared: Arc<Shared>,
     service: Arc<Instances>,
     events: mpsc::Sender<Event>,
-    mut queue: mpsc::UnboundedReceiver<Vec<Issued>>,
+    mut queue: mpsc::UnboundedReceiver<Vec<QueuedOrder>>,
 ) {
     while let Some(mut orders) = queue.recv().await {
         while let Ok(more) = queue.try_recv() {
@@ -273,97 +296,109 @@
         }
         let (life, at) = (shared.life, shared.clock.now());
         let records = orders.iter().map(|g| {
-            let wave = wave(&g.order);
+            let wave = wave_of(&g.order);
             let record = OrderRecord { life, at, wave };
-            Keyed::new(name(&g.order).as_str(), encode(&record))
+            Keyed::new(instance_of(&g.order).as_str(), encode(&record))
         });
         let records: Vec<Keyed> = records.collect();
         let recorded = shared.orders.write(&shared.store, &records).await;
         if let Err(e) = &recorded {
-            log::info!(error:% = e; "orders to instances not on record");
+            log::info!(error:% = e; "failed to record instance orders; not issuing them");
         }
-        for given in orders {
+        for item in orders {
             let (shared, service) = (shared.clone(), service.clone());
             let (events, recorded) = (events.clone(), recorded.is_ok());
             tokio::spawn(async move {
-                let outcome = give(&shared, &service, &events, &given, recorded).await;
+                let outcome = issue(&shared, &service, &events, &item, recorded).await;
                 shared.metrics.instance_ordered(outcome_name(outcome));
                 log::info!(
-                    order:? = given.order, token = given.token.fence, outcome:? = outcome;
-                    "instance ordered"
+                    order:? = item.order, token = item.token.fence, outcome:? = outcome;
+                    "instance order finished"
                 );
-                let event = Event::InstanceOrdered(given.order, given.worker, outcome);
+                let event = Event::InstanceOrdered(item.order, item.worker, outcome);
                 let _ = events.send(event).await;
             });
         }
     }
 }
 
-/// An order that is to be given.
-struct Issued {
+/// An order waiting to be recorded and issued.
+struct QueuedOrder {
     order: InstanceOrder,
+    /// The worker on the instance.
     worker: Option<WorkerId>,
     token: OrderToken,
 }
 
-/// Gives an order, unless it is not on record or this node may own the cell no more.
-async fn give(
+/// Issues an order, unless it was not recorded or this node may no longer own the cell.
+async fn issue(
     shared: &Shared,
     service: &Instances,
     events: &mpsc::Sender<Event>,
-    given: &Issued,
+    item: &QueuedOrder,
     recorded: bool,
 ) -> InstanceOutcome {
-    let owner = !events.is_closed() && shared.holds_ownership();
-    match recorded && owner {
-        true => service.order(&given.order, &given.token, TIMEOUT).await,
+    let is_owner = !events.is_closed() && shared.holds_ownership();
+    match recorded && is_owner {
+        true => service.order(&item.order, &item.token, CALL_TIMEOUT).await,
         false => InstanceOutcome::Refused(NOT_RECORDED),
     }
 }
 
-/// Lists instances until nobody takes the lists any more.
-async fn list(shared: Arc<Shared>, service: Arc<Instances>, events: mpsc::Sender<Event>) {
-    let mut lost = false;
-    let mut quiet: Option<Vec<Instance>> = None;
+/// Lists instances periodically, until the owner on this node is gone.
+async fn list_instances(shared: Arc<Shared>, service: Arc<Instances>, events: mpsc::Sender<Event>) {
+    let mut failing = false;
+    let mut previous: Option<Vec<Instance>> = None;
     while !events.is_closed() {
         let sent = shared.clock.now();
-        match service.list(TIMEOUT).await {
+        match service.list(CALL_TIMEOUT).await {
             Ok(instances) => {
-                if std::mem::take(&mut lost) {
-                    log::info!("list of instances regained");
+                if std::mem::take(&mut failing) {
+                    log::info!("instance list available again");
                 }
-                let size = instances.len() * LISTED;
-                let least = shared.settings.link.transfer_time(size).div_f64(LIST_SHARE);
-                let least = least.max(Duration::from_secs_f64(size as f64 / LIST_RATE));
-                let same = quiet.as_ref() == Some(&instances);
-                quiet = Some(instances.clone());
+                let size = instances.len() * INSTANCE_SIZE;
+                let min_pause = shared
+                    .settings
+                    .link
+                    .transfer_time(size)
+                    .div_f64(LIST_LINK_SHARE);
+                let min_pause = min_pause.max(Duration::from_secs_f64(size as f64 / MAX_LIST_RATE));
+                let unchanged = previous.as_ref() == Some(&instances);
+                previous = Some(instances.clone());
                 let _ = events.send(Event::Instances(instances, sent)).await;
-                let pause = if same { LIST_IDLE } else { LIST_BUSY };
-                sleep(pause.max(least.min(LIST_MOST))).await;
+                let pause = if unchanged {
+                    IDLE_LIST_INTERVAL
+                } else {
+                    BUSY_LIST_INTERVAL
+                };
+                sleep(pause.max(min_pause.min(MAX_LIST_INTERVAL))).await;
             }
             Err(e) => {
-                if !std::mem::replace(&mut lost, true) {
-                    log::warn!(error:% = e; "list of instances lost");
+                if !std::mem::replace(&mut failing, true) {
+                    log::warn!(error:% = e; "cannot list instances; retrying");
                 }
-                sleep(LIST_BUSY).await;
+                sleep(BUSY_LIST_INTERVAL).await;
             }
         }
     }
 }
 
-fn name(order: &InstanceOrder) -> &InstanceName {
+/// The instance that an order is for.
+fn instance_of(order: &InstanceOrder) -> &InstanceName {
     match order {
         InstanceOrder::Move { instance, .. } | InstanceOrder::Maintain { instance, .. } => instance,
     }
 }
 
-fn wave(order: &InstanceOrder) -> Option<u64> {
+/// The maintenance wave that an order belongs to.
+fn wave_of(order: &InstanceOrder) -> Option<u64> {
     match order {
         InstanceOrder::Maintain { wave, .. } => Some(*wave),
         InstanceOrder::Move { .. } => None,
     }
 }
 
+/// Label of an outcome in the metrics.
 fn outcome_name(outcome: InstanceOutcome) -> &'static str {
     match outcome {
         InstanceOutcome::Done => "done",
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -33,7 +33,7 @@
 async fn cell(shared: &Shared) -> Reply {
     let owner = shared.owner.load_full();
     let own = match shared.local_owner.load_full() {
-        Some(own) => own.view().await,
+        Some(own) => own.cell_view().await,
         None => None,
     };
     let config = shared.config.load_full();
@@ -62,7 +62,7 @@
             "this node does not own the cell",
         );
     };
-    match own.story(id).await {
+    match own.job_view(id).await {
         Some(story) => json(StatusCode::OK, &story),
         None => text(StatusCode::NOT_FOUND, "job not found"),
     }
@@ -70,7 +70,7 @@
 
 /// View of the cell for operators.
 pub(crate) fn cell_view(cell: &Cell) -> Value {
-    let queues = cell.queues().into_iter().map(|(name, (open, waiting))| {
+    let queues = cell.queue_lengths().into_iter().map(|(name, (open, waiting))| {
         value!({ "queue": name.as_str(), "open": open, "waiting": waiting })
     });
     let loads = cell.loads();
