--- a/crates/fleet/src/allotments/split.rs
+++ b/crates/fleet/src/allotments/split.rs
@@ -1,44 +1,44 @@
-//! The split of one team's limit.
+//! How the limit of one team is divided among lives.
 
 use std::collections::BTreeMap;
 
 use cactuswheel_model::{LifeId, Offset, Usage};
 use serde::{Deserialize, Serialize};
 
-use super::Row;
+use super::AllotmentRow;
 
-/// A team's limit and who holds how much of it.
+/// A team's request limit and the part of it that each life holds.
 ///
-/// Invariant: the caps' sum is at most `limit`. The occupied units' sum is too, but for what
-/// ran when the limit was lowered; it then only falls.
+/// Invariant: the sum of all caps is at most `limit`. So is the sum of occupied units, except for
+/// requests that were running when the limit was lowered; the sum then only falls.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Split {
     limit: u32,
-    rows: BTreeMap<LifeId, Row>,
+    rows: BTreeMap<LifeId, AllotmentRow>,
 }
 
 impl Split {
-    /// The team's limit.
+    /// The team's request limit.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// One life's part.
-    pub fn row(&self, life: &LifeId) -> Option<&Row> {
+    /// The part that a life holds.
+    pub fn row(&self, life: &LifeId) -> Option<&AllotmentRow> {
         self.rows.get(life)
     }
 
-    /// All parts.
-    pub fn rows(&self) -> impl Iterator<Item = (&LifeId, &Row)> {
+    /// The parts of all lives.
+    pub fn rows(&self) -> impl Iterator<Item = (&LifeId, &AllotmentRow)> {
         self.rows.iter()
     }
 
-    /// Units that may be in use over the whole fleet.
+    /// Units that may be in use in the whole fleet.
     pub fn occupied(&self) -> u32 {
         self.rows.values().map(|r| r.occupied).sum()
     }
 
-    /// Units that may be taken over the whole fleet.
+    /// Sum of the caps of all lives.
     pub fn caps(&self) -> u32 {
         self.rows.values().map(|r| r.cap).sum()
     }
@@ -47,11 +47,11 @@
         self.limit = limit;
     }
 
-    pub(crate) fn admit(&mut self, life: &LifeId, open: bool) {
+    pub(crate) fn set_open(&mut self, life: &LifeId, open: bool) {
         self.rows.entry(life.clone()).or_default().open = open;
     }
 
-    pub(crate) fn release(&mut self, life: &LifeId) {
+    pub(crate) fn remove_row(&mut self, life: &LifeId) {
         self.rows.remove(life);
     }
 
@@ -59,50 +59,51 @@
         self.rows.get_mut(life).is_some_and(|r| r.report(usage))
     }
 
-    /// Moves units to where they are wanted, as far as that is safe at once.
-    pub(crate) fn settle(&mut self, at: Offset) {
-        let most = self.available();
-        let wants = self.wants(most);
+    /// Moves units to the lives that can use them, as far as this is safe at once.
+    pub(crate) fn rebalance(&mut self, at: Offset) {
+        let total = self.available();
+        let wants = self.wants(total);
         let open: Vec<bool> = self.rows.values().map(|r| r.open).collect();
-        let goals = goals(most, &wants, &open);
+        let shares = fair_shares(total, &wants, &open);
         let mut next: Vec<u32> = self.rows.values().map(|r| r.cap).collect();
         let closed = open.iter().zip(&mut next).filter(|(open, _)| !**open);
         closed.for_each(|(_, cap)| *cap = 0);
-        lower(most, &mut next, &goals, &wants);
-        self.raise(most, &mut next, &goals, &wants);
+        lower(total, &mut next, &shares, &wants);
+        self.raise(total, &mut next, &shares, &wants);
         for (row, cap) in self.rows.values_mut().zip(next) {
             row.set_cap(cap, at);
         }
     }
 
-    /// What the open lives together may have. Units of closed ones come back only in the end;
-    /// counted on, they would leave a new entry without any until then.
+    /// Units that open lives may hold together. Units of closed lives are not available until
+    /// those lives are removed; if they were counted, a new entry could get none until then.
     fn available(&self) -> u32 {
         let closed = self.rows.values().filter(|r| !r.open);
         let held: u32 = closed.map(|r| r.occupied).sum();
         self.limit.saturating_sub(held)
     }
 
-    /// What each life could use, and never less than half an even part, so that a burst at an
-    /// idle entry finds units there before a record has gone round; nothing for closed ones.
-    fn wants(&self, most: u32) -> Vec<u32> {
+    /// Units that each life could use: its reported demand, but at least half an even share, so
+    /// that a burst at an idle entry finds units there before a new record has reached the log and
+    /// come back. 0 for closed lives.
+    fn wants(&self, total: u32) -> Vec<u32> {
         let open = self.rows.values().filter(|r| r.open).count() as u32;
-        let least = most.checked_div(2 * open).unwrap_or(0);
-        let want = |r: &Row| if r.open { r.want.max(least) } else { 0 };
+        let least = total.checked_div(2 * open).unwrap_or(0);
+        let want = |r: &AllotmentRow| if r.open { r.want.max(least) } else { 0 };
         self.rows.values().map(want).collect()
     }
 
-    /// Gives out what nobody may be using, first to where it is wanted.
-    fn raise(&self, most: u32, next: &mut [u32], goals: &[u32], wants: &[u32]) {
+    /// Assigns units that no life may be using, first to lives that want them.
+    fn raise(&self, total: u32, next: &mut [u32], shares: &[u32], wants: &[u32]) {
         let mut free = self.limit.saturating_sub(self.occupied());
-        let mut room = most.saturating_sub(next.iter().sum());
-        let wanted: Vec<u32> = goals.iter().zip(wants).map(|(g, w)| *g.min(w)).collect();
-        for targets in [wanted.as_slice(), goals] {
+        let mut room = total.saturating_sub(next.iter().sum());
+        let wanted: Vec<u32> = shares.iter().zip(wants).map(|(s, w)| *s.min(w)).collect();
+        for targets in [wanted.as_slice(), shares] {
             for (i, row) in self.rows.values().enumerate() {
-                // Up to what is occupied there anyway, a raise takes nothing from the others.
+                // Up to the number of occupied units a higher cap takes nothing from other lives.
                 let bound = row.occupied.max(next[i]) + free;
-                let goal = targets[i].min(bound).max(next[i]);
-                let more = (goal - next[i]).min(room);
+                let target = targets[i].min(bound).max(next[i]);
+                let more = (target - next[i]).min(room);
                 free -= (next[i] + more).saturating_sub(row.occupied.max(next[i]));
                 next[i] += more;
                 room -= more;
@@ -111,39 +112,40 @@
     }
 }
 
-/// Takes units from lives above their goal, as many as are wanted elsewhere and no more:
-/// each step down costs its life a confirmation in the log.
-fn lower(most: u32, next: &mut [u32], goals: &[u32], wants: &[u32]) {
+/// Lowers the caps of lives above their share by as many units as other lives want and no more:
+/// each lowered cap needs a report from its life in the log before the units are free.
+fn lower(total: u32, next: &mut [u32], shares: &[u32], wants: &[u32]) {
     let sum: u32 = next.iter().sum();
-    let short = |((n, g), w): ((&u32, &u32), &u32)| (*g).min(*w).saturating_sub(*n);
-    let wanted: u32 = next.iter().zip(goals).zip(wants).map(short).sum();
-    let spare = most.saturating_sub(sum);
-    let mut need = wanted.saturating_sub(spare) + sum.saturating_sub(most);
-    let mut givers: Vec<usize> = (0..next.len()).collect();
-    givers.sort_by_key(|&i| std::cmp::Reverse(next[i].saturating_sub(goals[i])));
-    for i in givers {
-        let give = next[i].saturating_sub(goals[i]).min(need);
-        next[i] -= give;
-        need -= give;
+    let short = |((n, s), w): ((&u32, &u32), &u32)| (*s).min(*w).saturating_sub(*n);
+    let wanted: u32 = next.iter().zip(shares).zip(wants).map(short).sum();
+    let spare = total.saturating_sub(sum);
+    let mut need = wanted.saturating_sub(spare) + sum.saturating_sub(total);
+    let mut donors: Vec<usize> = (0..next.len()).collect();
+    donors.sort_by_key(|&i| std::cmp::Reverse(next[i].saturating_sub(shares[i])));
+    for i in donors {
+        let reduction = next[i].saturating_sub(shares[i]).min(need);
+        next[i] -= reduction;
+        need -= reduction;
     }
 }
 
-/// Max-min fair parts of `limit` by `wants`; what nobody wants is spread evenly over the open.
-fn goals(limit: u32, wants: &[u32], open: &[bool]) -> Vec<u32> {
-    let mut goals = vec![0; wants.len()];
+/// Max-min fair shares of `limit` by `wants`; units that no life wants are spread evenly over the
+/// open lives.
+fn fair_shares(limit: u32, wants: &[u32], open: &[bool]) -> Vec<u32> {
+    let mut shares = vec![0; wants.len()];
     let mut order: Vec<usize> = (0..wants.len()).collect();
     order.sort_by_key(|&i| wants[i]);
-    let mut left = limit;
+    let mut remaining = limit;
     for (done, &i) in order.iter().enumerate() {
-        goals[i] = wants[i].min(left / (wants.len() - done) as u32);
-        left -= goals[i];
+        shares[i] = wants[i].min(remaining / (wants.len() - done) as u32);
+        remaining -= shares[i];
     }
-    let mut rest = open.iter().filter(|o| **o).count() as u32;
-    for i in (0..goals.len()).filter(|&i| open[i]) {
-        let more = left.div_ceil(rest);
-        goals[i] += more;
-        left -= more;
-        rest -= 1;
+    let mut open_count = open.iter().filter(|o| **o).count() as u32;
+    for i in (0..shares.len()).filter(|&i| open[i]) {
+        let more = remaining.div_ceil(open_count);
+        shares[i] += more;
+        remaining -= more;
+        open_count -= 1;
     }
-    goals
+    shares
 }
--- a/crates/fleet/src/denials.rs
+++ b/crates/fleet/src/denials.rs
@@ -5,15 +5,15 @@
 
 use crate::Table;
 
-/// Denials kept; more than keys are withdrawn in years.
-const KEPT: usize = 100_000;
+/// Maximum number of withdrawals kept; more than years of use need.
+const MAX_DENIALS: usize = 100_000;
 
-/// Who withdrew which key.
+/// Withdrawn keys, and who withdrew them.
 ///
-/// Never undone: a key that is granted after it was denied stays denied.
+/// A withdrawal is never undone: a key that is granted after its withdrawal stays withdrawn.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Denials {
-    /// Invariant: at most `KEPT` rows.
+    /// Invariant: at most `MAX_DENIALS` rows.
     rows: Table<Digest, OperatorId>,
 }
 
@@ -23,9 +23,10 @@
         self.rows.contains(digest)
     }
 
-    /// Notes a withdrawal; whether it is news.
+    /// Records a withdrawal; returns `false` if the key was withdrawn already or the table is
+    /// full.
     pub(crate) fn insert(&mut self, denial: &Denial) -> bool {
-        if self.contains(&denial.digest) || self.rows.len() >= KEPT {
+        if self.contains(&denial.digest) || self.rows.len() >= MAX_DENIALS {
             return false;
         }
         self.rows.insert(denial.digest, denial.by.clone());
--- a/crates/fleet/src/disruptions/room.rs
+++ b/crates/fleet/src/disruptions/room.rs
@@ -1,15 +1,18 @@
-//! Whether a pool holds its demand after the loss of a rack.
+//! Whether a pool can still meet its demand after the loss of a rack.
 
 use cactuswheel_model::{Code, DcId, InstanceId, Map, PoolId, RackId, Refusal};
 
 use super::Disruptions;
 use crate::Config;
 
-/// Refuses to take `leaver` out of `pool` for good if the rest would be too small.
+/// Refuses to remove the instance `leaving` from `pool` if the rest would be too small: too few
+/// instances for the disruption budget of a service, or too few slots for the demand if the
+/// largest rack were lost as well.
 ///
-/// Two plans that were each sound may race; this rule holds them together.
+/// Two plans may be valid on their own and race with each other; this check on each record keeps
+/// their sum within the limits.
 pub(super) fn check_leaving(
-    leaver: &InstanceId,
+    leaving: &InstanceId,
     pool: &PoolId,
     config: &Config,
     disruptions: &Disruptions,
@@ -25,7 +28,7 @@
     let mut total = 0;
     let mut racks: Map<(&DcId, &RackId), u64> = Map::default();
     for instance in config.instances.values().filter(|i| i.pool == *pool) {
-        if instance.id == *leaver || disruptions.hold(&instance.id).is_some() {
+        if instance.id == *leaving || disruptions.outage(&instance.id).is_some() {
             continue;
         }
         let slots = u64::from(instance.slots.get());
--- a/crates/fleet/src/jobs/store.rs
+++ b/crates/fleet/src/jobs/store.rs
@@ -1,4 +1,4 @@
-//! All jobs, and the rules for what may happen to them.
+//! All jobs, and the rules for changes to them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,77 +12,80 @@
 use super::{Job, JobPhase, Worker};
 use crate::{Config, Disruptions, Table};
 
-/// Ended jobs that are remembered, so that a repeated submission is told what became of it.
-const ENDED: usize = 20_000;
+/// Maximum number of ended jobs kept, so that a repeated submission still gets the result of the
+/// first.
+const MAX_ENDED_JOBS: usize = 20_000;
 
-/// Waiting jobs of one team.
-const WAITING: u32 = 5_000;
+/// Maximum number of waiting jobs per team.
+const MAX_WAITING_JOBS: u32 = 5_000;
 
-/// Longest payload, in bytes.
-const PAYLOAD: usize = 4 << 10;
+/// Maximum size of a payload, in bytes.
+const MAX_PAYLOAD_BYTES: usize = 4 << 10;
 
-/// Different workers that a job may fail on.
-const WORKERS: usize = 3;
+/// Number of different workers on which a job may fail before it counts as failed.
+const MAX_FAILED_WORKERS: usize = 3;
 
-/// Attempts of one job that may be lost.
-const LOST: u32 = 10;
+/// Number of lost attempts after which a job is not retried.
+const MAX_LOST_ATTEMPTS: u32 = 10;
 
-/// Jobs by name, workers by what is placed on them.
+/// Jobs by ID, and workers with the resources that jobs reserve on them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Jobs {
     jobs: Table<JobId, Job>,
-    /// Jobs that wait, by team.
+    /// Number of queued jobs per team.
     ///
-    /// Invariant: the sum over teams is the number of queued jobs.
+    /// Invariant: the sum over all teams is the number of queued jobs.
     waiting: Table<TeamId, u32>,
-    /// Jobs that are placed, by team.
+    /// Number of placed jobs per team.
     ///
-    /// Invariant: at most the team's `jobs` when the last one was placed.
+    /// Invariant: at most the team's `jobs` setting at the time of the latest placement.
     placed: Table<TeamId, u32>,
-    /// Workers with something placed or something to remember.
+    /// Workers with placed attempts or recorded failures.
     ///
-    /// Invariant: `used` is the sum of what is set aside there, and fits the instance.
+    /// Invariant: `used` is the sum of the resources reserved on the worker and does not exceed
+    /// the instance's resources.
     workers: Table<InstanceId, Worker>,
-    /// Ended jobs, oldest first.
+    /// IDs of ended jobs, oldest first.
     ///
-    /// Invariant: at most `ENDED`.
+    /// Invariant: at most `MAX_ENDED_JOBS`.
     ended: Arc<VecDeque<JobId>>,
-    /// The next of the workers' reports to take over.
-    reports: Offset,
+    /// Offset of the next record to process in the stream of worker reports.
+    #[serde(rename = "reports")]
+    next_report: Offset,
 }
 
 impl Jobs {
-    /// A job.
+    /// Returns a job by ID.
     pub fn get(&self, job: &JobId) -> Option<&Arc<Job>> {
         self.jobs.get(job)
     }
 
-    /// All jobs that are remembered.
+    /// All jobs, including the ended ones that are kept.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Arc<Job>)> {
         self.jobs.iter()
     }
 
-    /// What is placed on a worker; nothing if it is not listed.
+    /// The load of a worker; `None` if no attempt is placed there and no failure is recorded.
     pub fn worker(&self, id: &InstanceId) -> Option<&Arc<Worker>> {
         self.workers.get(id)
     }
 
-    /// Number of a team's jobs that are placed.
+    /// Number of the team's placed jobs.
     pub fn placed(&self, team: &TeamId) -> u32 {
         self.placed.get(team).map_or(0, |n| **n)
     }
 
-    /// Number of a team's jobs that wait.
+    /// Number of the team's queued jobs.
     pub fn waiting(&self, team: &TeamId) -> u32 {
         self.waiting.get(team).map_or(0, |n| **n)
     }
 
-    /// The next of the workers' reports to take over.
-    pub fn reports(&self) -> Offset {
-        self.reports
+    /// Offset of the next record to process in the stream of worker reports.
+    pub fn next_report(&self) -> Offset {
+        self.next_report
     }
 
-    /// Applies one event.
+    /// Applies an event, or refuses it without a change.
     pub(crate) fn apply(
         &mut self,
         event: &JobEvent,
@@ -101,11 +104,11 @@
                 incarnation,
                 room,
             } => self.place(job, *attempt, (worker, *incarnation), *room, config),
-            JobEvent::Checkpoint { job, attempt, mark } => self.mark(job, *attempt, mark),
+            JobEvent::Checkpoint { job, attempt, mark } => self.checkpoint(job, *attempt, mark),
             JobEvent::End { job, attempt, end } => self.end(job, *attempt, *end),
             JobEvent::Cancel { job } => self.cancel(job),
             JobEvent::Reports { next } => {
-                self.reports = self.reports.max(*next);
+                self.next_report = self.next_report.max(*next);
                 Ok(())
             }
         }
@@ -119,7 +122,7 @@
         config: &Config,
     ) -> Result<(), Refusal> {
         if let Some(first) = self.jobs.get(id) {
-            // A submission whose answer was lost comes again: the first one stands.
+            // A client that got no answer submits again; the first submission stays in force.
             let same = first.spec == *spec;
             return if same {
                 Ok(())
@@ -128,11 +131,11 @@
             };
         }
         check_spec(id, spec, config)?;
-        if self.waiting(&id.team) >= WAITING {
+        if self.waiting(&id.team) >= MAX_WAITING_JOBS {
             return Err(Refusal::new(Code::JobsFull));
         }
         self.jobs.insert(id.clone(), Job::new(spec.clone(), at));
-        count(&mut self.waiting, &id.team, 1);
+        adjust_count(&mut self.waiting, &id.team, 1);
         Ok(())
     }
 
@@ -170,17 +173,17 @@
         };
         self.jobs.insert(id.clone(), job);
         self.workers.insert(worker.clone(), load);
-        count(&mut self.waiting, &id.team, -1);
-        count(&mut self.placed, &id.team, 1);
+        adjust_count(&mut self.waiting, &id.team, -1);
+        adjust_count(&mut self.placed, &id.team, 1);
         Ok(())
     }
 
     fn check_team(&self, team: &TeamId, config: &Config) -> Result<(), Refusal> {
-        let most = config
+        let max = config
             .teams
             .get(team)
             .map_or(0, |t| t.jobs.get().min(t.limit.get()));
-        if self.placed(team) < most {
+        if self.placed(team) < max {
             return Ok(());
         }
         Err(Refusal::new(Code::TeamLimit))
@@ -201,16 +204,16 @@
             .map(|w| Worker::clone(w))
             .unwrap_or_default();
         let fits = (load.used + room).fits(Room::of(instance));
-        if instance.pool != spec.pool || !fits || !load.takes_work() {
+        if instance.pool != spec.pool || !fits || !load.accepts_work() {
             return Err(full());
         }
         Ok(load)
     }
 
-    fn mark(&mut self, id: &JobId, attempt: Attempt, mark: &str) -> Result<(), Refusal> {
-        let job = self.running(id, attempt)?;
+    fn checkpoint(&mut self, id: &JobId, attempt: Attempt, mark: &str) -> Result<(), Refusal> {
+        let job = self.placed_job(id, attempt)?;
         let job = Job {
-            mark: Some(mark.to_owned()),
+            checkpoint: Some(mark.to_owned()),
             ..Job::clone(job)
         };
         self.jobs.insert(id.clone(), job);
@@ -218,7 +221,7 @@
     }
 
     fn end(&mut self, id: &JobId, attempt: Attempt, end: AttemptEnd) -> Result<(), Refusal> {
-        let mut job = Job::clone(self.running(id, attempt)?);
+        let mut job = Job::clone(self.placed_job(id, attempt)?);
         let JobPhase::Placed { worker, room, .. } = &job.phase else {
             return Err(Refusal::new(Code::JobMoved));
         };
@@ -230,14 +233,14 @@
         if end == AttemptEnd::Failed && !job.failed.contains(&worker) {
             job.failed.push(worker);
         }
-        job.phase = after(&job, end);
+        job.phase = next_phase(&job, end);
         let queued = job.phase == JobPhase::Queued;
         self.jobs.insert(id.clone(), job);
-        count(&mut self.placed, &id.team, -1);
+        adjust_count(&mut self.placed, &id.team, -1);
         if queued {
-            count(&mut self.waiting, &id.team, 1);
+            adjust_count(&mut self.waiting, &id.team, 1);
         } else {
-            self.forget(id);
+            self.record_ended(id);
         }
         Ok(())
     }
@@ -254,7 +257,7 @@
             AttemptEnd::Failed if !load.streak.contains(id) => load.streak.push(id.clone()),
             _ => {}
         }
-        if load.is_blank() {
+        if load.is_unused() {
             self.workers.remove(worker);
         } else {
             self.workers.insert(worker.clone(), load);
@@ -273,8 +276,8 @@
                     ..Job::clone(job)
                 };
                 self.jobs.insert(id.clone(), job);
-                count(&mut self.waiting, &id.team, -1);
-                self.forget(id);
+                adjust_count(&mut self.waiting, &id.team, -1);
+                self.record_ended(id);
                 Ok(())
             }
             JobPhase::Placed { .. } => {
@@ -290,8 +293,9 @@
         }
     }
 
-    /// The job, if exactly this attempt is placed; a late word of an older one is refused.
-    fn running(&self, id: &JobId, attempt: Attempt) -> Result<&Arc<Job>, Refusal> {
+    /// Returns the job if exactly this attempt is placed. Events of earlier attempts that arrive
+    /// late are refused.
+    fn placed_job(&self, id: &JobId, attempt: Attempt) -> Result<&Arc<Job>, Refusal> {
         let job = self
             .jobs
             .get(id)
@@ -302,11 +306,11 @@
         Err(Refusal::new(Code::JobMoved))
     }
 
-    /// Notes a job's end and drops the oldest ended one beyond the bound.
-    fn forget(&mut self, id: &JobId) {
+    /// Records that a job ended, and drops the oldest ended job beyond `MAX_ENDED_JOBS`.
+    fn record_ended(&mut self, id: &JobId) {
         let ended = Arc::make_mut(&mut self.ended);
         ended.push_back(id.clone());
-        if ended.len() > ENDED
+        if ended.len() > MAX_ENDED_JOBS
             && let Some(oldest) = ended.pop_front()
         {
             self.jobs.remove(&oldest);
@@ -319,8 +323,8 @@
         let detail = format!("team {} and pool {} have to exist", id.team, spec.pool);
         return Err(Refusal::new(Code::MissingReference).with_detail(detail));
     }
-    if spec.payload.len() > PAYLOAD || spec.room.cores.get() == 0 {
-        let detail = format!("takes a core or more and a payload up to {PAYLOAD} bytes");
+    if spec.payload.len() > MAX_PAYLOAD_BYTES || spec.room.cores.get() == 0 {
+        let detail = format!("takes a core or more and a payload up to {MAX_PAYLOAD_BYTES} bytes");
         return Err(Refusal::new(Code::BadJob).with_detail(detail));
     }
     let mut pool = config.instances.values().filter(|i| i.pool == spec.pool);
@@ -330,25 +334,26 @@
     Err(Refusal::new(Code::JobTooLarge))
 }
 
-/// The phase after an attempt ended.
-fn after(job: &Job, end: AttemptEnd) -> JobPhase {
+/// Returns the phase of a job after its attempt ended.
+fn next_phase(job: &Job, end: AttemptEnd) -> JobPhase {
     match end {
         AttemptEnd::Done => JobPhase::Done,
-        AttemptEnd::Failed if job.failed.len() >= WORKERS => JobPhase::Failed,
+        AttemptEnd::Failed if job.failed.len() >= MAX_FAILED_WORKERS => JobPhase::Failed,
         _ if job.cancel => JobPhase::Cancelled,
         AttemptEnd::Refused => JobPhase::Queued,
-        // The task ran a part and its word that it failed or stopped is itself an answer; what
-        // it did before may have had effects, so only a repeatable job goes on.
+        // The attempt may have run in part, and what it did may have had effects, so only an
+        // idempotent or resumable job is retried. Without retries, a reported failure is a
+        // definite result; after a stop or a loss the result is unknown.
         AttemptEnd::Failed | AttemptEnd::Stopped | AttemptEnd::Lost => match job.spec.retry {
             Retry::Never if end == AttemptEnd::Failed => JobPhase::Failed,
             Retry::Never => JobPhase::Unknown,
-            Retry::Restart | Retry::Resume if job.lost >= LOST => JobPhase::Failed,
+            Retry::Restart | Retry::Resume if job.lost >= MAX_LOST_ATTEMPTS => JobPhase::Failed,
             Retry::Restart | Retry::Resume => JobPhase::Queued,
         },
     }
 }
 
-fn count(table: &mut Table<TeamId, u32>, team: &TeamId, change: i32) {
+fn adjust_count(table: &mut Table<TeamId, u32>, team: &TeamId, change: i32) {
     let n = table
         .get(team)
         .map_or(0, |n| **n)
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the log folds to.
+//! The state of the fleet, built from the log.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 
 use crate::{Allotments, Audit, Config, Denials, Disruptions, Jobs, Ledger, Outcome, rules};
 
-/// The fleet as of one offset; copies are cheap.
+/// The state of the fleet after all records below one offset; cloning is cheap.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     /// The offset of the next record to apply.
     ///
-    /// Invariant: every record below was applied, in order, once.
+    /// Invariant: every record below it was applied once, in order.
     next: Offset,
     config: Config,
     ledger: Ledger,
@@ -29,37 +29,37 @@
     jobs: Jobs,
     #[serde(default)]
     audit: Audit,
-    /// The snapshot with the highest head among those marked complete.
+    /// Among the snapshots marked complete, the one with the highest head.
     snapshot: Option<SnapshotMark>,
-    /// Records that did not decode.
+    /// Number of records that could not be decoded.
     undecodable: u64,
 }
 
-/// What applying a record did.
+/// The result of applying one record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
-    /// A ticket, with the lasting outcome of its number.
+    /// A ticket, with the final outcome of its number.
     ///
-    /// For a number used before with other content the code is [`Code::TicketUsed`].
+    /// If the number was used before with other content, the code is [`Code::TicketUsed`].
     Ticket(Arc<Outcome>),
-    /// A key withdrawn outside tickets; whether that is news.
+    /// A withdrawal of a key outside tickets; `false` if it changed nothing.
     Denial(bool),
-    /// An entry's word on units; whether it changed anything.
+    /// A report of an entry about the units that it holds; `false` if it changed nothing.
     Holding(bool),
-    /// Events of jobs, with what became of each.
+    /// Job events, with the result of each.
     Jobs(Vec<Result<(), Refusal>>),
-    /// Word of a snapshot.
+    /// A mark that a snapshot is complete.
     Snapshot,
-    /// A step of an outage, with the fence of the outage it belongs to.
+    /// A step of an outage, with the fencing token of its outage.
     Disruption(Result<Offset, Refusal>),
-    /// The wanted moves.
+    /// A new list of wanted moves.
     Moves(Result<(), Refusal>),
-    /// A wave's wanted state.
+    /// A new wave or a change to the newest one.
     Wave(Result<(), Refusal>),
-    /// A record that does not decode; every node passes over it alike.
+    /// A record that cannot be decoded, with the error; every node skips it.
     Undecodable(String),
-    /// A record below `next`: it is in the state already.
-    Old,
+    /// A record below `next`, which was applied before.
+    AlreadyApplied,
 }
 
 impl State {
@@ -68,32 +68,32 @@
         self.next
     }
 
-    /// The objects in force.
+    /// The configuration in force.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// The tickets seen.
+    /// Used ticket numbers and their outcomes.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Keys withdrawn outside tickets.
+    /// Keys that were withdrawn outside tickets.
     pub fn denials(&self) -> &Denials {
         &self.denials
     }
 
-    /// Who may run how much for which team.
+    /// How each team's request limit is divided among the entries.
     pub fn allotments(&self) -> &Allotments {
         &self.allotments
     }
 
-    /// Jobs and what is placed where.
+    /// Jobs and their placements.
     pub fn jobs(&self) -> &Jobs {
         &self.jobs
     }
 
-    /// Who changed what, lately.
+    /// The newest rows of the audit trail.
     pub fn audit(&self) -> &Audit {
         &self.audit
     }
@@ -103,29 +103,30 @@
         self.snapshot.as_ref()
     }
 
-    /// Number of records that were passed over because they do not decode.
+    /// Number of records that were skipped because they could not be decoded.
     pub fn undecodable(&self) -> u64 {
         self.undecodable
     }
 
-    /// Outages, planned and not.
+    /// Planned and unplanned outages.
     pub fn disruptions(&self) -> &Disruptions {
         &self.disruptions
     }
 
-    /// Applies the record at `offset`, given as text.
+    /// Applies the record at `offset`, given as JSON.
     ///
     /// # Panics
     ///
-    /// If `offset` lies beyond `next`: a gap would make this node's state its own.
+    /// If `offset` is above `next`: after a gap, the state of this node would differ from that of
+    /// all others.
     pub fn apply(&mut self, offset: Offset, body: &str) -> Applied {
         assert!(
             offset <= self.next,
-            "gap in the log: {offset} after {}",
+            "gap in the log: record {offset} received, but offset {} is next",
             self.next
         );
         if offset < self.next {
-            return Applied::Old;
+            return Applied::AlreadyApplied;
         }
         self.next = offset.next();
         match serde_json::from_str(body) {
@@ -135,7 +136,7 @@
                 Applied::Holding(self.allotments.apply(offset, &holding))
             }
             Ok(Record::Jobs(events)) => Applied::Jobs(self.apply_jobs(offset, &events)),
-            Ok(Record::Snapshot(mark)) => self.apply_mark(mark),
+            Ok(Record::Snapshot(mark)) => self.apply_snapshot_mark(mark),
             Ok(Record::Disruption(step)) => {
                 Applied::Disruption(self.apply_disruption(offset, &step))
             }
@@ -156,7 +157,7 @@
         }
         let old = self.config.clone();
         self.config.withdraw(&denial.digest);
-        self.audit.deny(at, denial, &old, &self.config);
+        self.audit.record_denial(at, denial, &old, &self.config);
         true
     }
 
@@ -167,21 +168,22 @@
     fn apply_job(&mut self, at: Offset, event: &JobEvent) -> Result<(), Refusal> {
         let team = match event {
             JobEvent::Place { job, .. } => {
-                self.check_room(&job.team)?;
+                self.check_team_limit(&job.team)?;
                 Some(&job.team)
             }
             JobEvent::End { job, .. } => Some(&job.team),
             _ => None,
         };
-        let done = self.jobs.apply(event, &self.config, &self.disruptions);
+        let result = self.jobs.apply(event, &self.config, &self.disruptions);
         if let Some(team) = team {
-            self.split_limit(at, team);
+            self.update_request_limit(at, team);
         }
-        done
+        result
     }
 
-    /// Refuses a job while requests still occupy units that a ticket set aside for jobs.
-    fn check_room(&self, team: &TeamId) -> Result<(), Refusal> {
+    /// Refuses a placement while requests still hold units that a ticket has since reserved for
+    /// jobs.
+    fn check_team_limit(&self, team: &TeamId) -> Result<(), Refusal> {
         let limit = self.config.teams.get(team).map_or(0, |t| t.limit.get());
         let split = self.allotments.split(team);
         let requests = split.map_or(0, |s| s.occupied());
@@ -191,9 +193,10 @@
         Err(Refusal::new(Code::TeamLimit))
     }
 
-    /// Gives requests what the limit leaves beside jobs: those set aside for, or those placed
-    /// where a ticket has since set fewer aside.
-    fn split_limit(&mut self, at: Offset, team: &TeamId) {
+    /// Sets the limit for requests to what jobs leave of the team's limit. Jobs take the units
+    /// reserved for them, or those of the placed jobs if a ticket has reduced the reservation
+    /// below that.
+    fn update_request_limit(&mut self, at: Offset, team: &TeamId) {
         let placed = self.jobs.placed(team);
         let limit = self.config.teams.get(team).map_or(0, |t| {
             let jobs = t.jobs.get().max(placed);
@@ -202,10 +205,11 @@
         self.allotments.set_limit(at, team, limit);
     }
 
-    /// A step of an outage; the action itself waits for the jobs on the instance.
+    /// Applies a step of an outage; its commit is refused while jobs are placed on the instance.
     ///
-    /// Failure: a reboot under a job that may not be repeated loses its outcome for good. A
-    /// drain keeps new jobs away, so the commit only has to wait for those that are there.
+    /// The result of a job that must not be retried would be lost for good if its worker rebooted.
+    /// An instance in an outage that drains it gets no new jobs, so the commit only has to wait
+    /// for those already placed.
     fn apply_disruption(&mut self, offset: Offset, step: &Disruption) -> Result<Offset, Refusal> {
         let placed = self.jobs.worker(step.instance()).map_or(0, |w| w.placed);
         if matches!(step, Disruption::Commit { .. }) && placed > 0 {
@@ -217,15 +221,16 @@
         let fence = self.disruptions.apply(offset, step, &mut self.config)?;
         match (before, self.config.image(&object)) {
             (Some(before), Some(after)) if before != after => {
-                self.audit.moved(offset, fence, before, after);
+                self.audit.record_move(offset, fence, before, after);
             }
             _ => {}
         }
         Ok(fence)
     }
 
-    /// A paused writer marks an old snapshot late; the newest stays the one that counts.
-    fn apply_mark(&mut self, mark: SnapshotMark) -> Applied {
+    /// A writer that was paused may mark an old snapshot late, so only a mark with a higher head
+    /// replaces the current one.
+    fn apply_snapshot_mark(&mut self, mark: SnapshotMark) -> Applied {
         let newest = self.snapshot.as_ref().map(|s| s.head);
         if newest.is_none_or(|newest| newest < mark.head) {
             self.snapshot = Some(mark);
@@ -243,7 +248,8 @@
             detail: refusal.detail,
         };
         if let Some(first) = self.ledger.outcome(ticket.ticket) {
-            // An append whose answer was lost is sent again: same content, first result.
+            // A client that got no answer appends the ticket again; the same content gets the
+            // result of the first.
             if first.digest == digest {
                 return first.clone();
             }
@@ -251,7 +257,7 @@
             let refused = outcome(Refusal::new(Code::TicketUsed).with_detail(detail));
             return self.refuse(ticket, refused);
         }
-        if self.ledger.is_forgotten(ticket.ticket) {
+        if self.ledger.is_expired(ticket.ticket) {
             let detail = "its number is below all that are remembered";
             let refused = outcome(Refusal::new(Code::TicketStale).with_detail(detail));
             return self.refuse(ticket, refused);
@@ -268,27 +274,28 @@
         rules::check_order(ticket, &self.ledger)?;
         let mut next = self.config.clone();
         ticket.changes.iter().for_each(|c| next.set(c));
-        rules::check_sense(ticket, &self.config, &next)?;
+        rules::check_consistency(ticket, &self.config, &next)?;
         self.disruptions.check_ticket(ticket, &self.config, &next)?;
         Ok(next)
     }
 
     fn accept(&mut self, ticket: &Ticket, outcome: Outcome, next: Config) -> Arc<Outcome> {
-        self.audit.accept(ticket, &outcome, &self.config, &next);
-        self.disruptions.follow_ticket(ticket, &self.config, &next);
+        self.audit
+            .record_accepted(ticket, &outcome, &self.config, &next);
+        self.disruptions.apply_ticket(ticket, &self.config, &next);
         self.config = next;
         for change in &ticket.changes {
             let object = change.object();
             if let ObjectId::Team(team) = &object {
-                self.split_limit(outcome.offset, team);
+                self.update_request_limit(outcome.offset, team);
             }
-            self.ledger.touch(object, ticket.ticket);
+            self.ledger.record_change(object, ticket.ticket);
         }
         Arc::new(outcome)
     }
 
     fn refuse(&mut self, ticket: &Ticket, outcome: Outcome) -> Arc<Outcome> {
-        self.audit.refuse(ticket, &outcome);
+        self.audit.record_refused(ticket, &outcome);
         Arc::new(outcome)
     }
 }
