--- a/crates/cli/src/cell.rs
+++ b/crates/cli/src/cell.rs
@@ -42,7 +42,7 @@
 }
 
 async fn ask(node: SocketAddr, path: &str) -> Result<Value, CliError> {
-    let answer = Call::get(node, path).with_limit(LIMIT).send().await?;
+    let answer = Call::get(node, path).with_timeout(LIMIT).send().await?;
     let code = match answer.status.as_u16() {
         200 => Code::Ok,
         400 => Code::BadRequest,
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -76,7 +76,7 @@
     }
 
     async fn send<T: DeserializeOwned>(&self, call: Call) -> Result<T, CliError> {
-        let call = call.with_key(&self.key).with_limit(self.limit);
+        let call = call.with_key(&self.key).with_timeout(self.limit);
         let answer = call.send().await?;
         match answer.status.is_success() {
             true => answer.json().map_err(|e| CliError::Answer(e.to_string())),
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::{Digest, EntryId, LifeId, Offset, Time};
-use cactuswheel_wire::{Answers, Beat, Chunk, Denial, Link, Tail, WireError};
+use cactuswheel_wire::{Beat, Chunk, Denial, Link, PeerHandler, Tail, WireError};
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::shared::Shared;
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Answerer(pub(crate) Arc<Shared>);
 
-impl Answers for Answerer {
+impl PeerHandler for Answerer {
     fn beat(&self, beat: Beat) -> Beat {
         hear(&self.0, &beat);
         own_beat(&self.0, beat.entry.parse().ok().as_ref())
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -5,15 +5,15 @@
 use serde::de::DeserializeOwned;
 
 /// Largest JSON body accepted by a control server, in bytes.
-pub const MAX_JSON: usize = 8 << 20;
+pub const MAX_JSON_BYTES: usize = 8 << 20;
 
 /// Reads a whole body and decodes it; the error is a line for people that names the place.
 pub async fn read_json<T: DeserializeOwned>(body: Incoming) -> Result<T, String> {
-    let whole = Limited::new(body, MAX_JSON)
+    let collected = Limited::new(body, MAX_JSON_BYTES)
         .collect()
         .await
         .map_err(|e| e.to_string())?;
-    parse_json(&whole.to_bytes())
+    parse_json(&collected.to_bytes())
 }
 
 /// Decodes JSON; the error is a line for people that names the place.
--- a/crates/http/src/call.rs
+++ b/crates/http/src/call.rs
@@ -15,10 +15,10 @@
 use tokio::time::timeout;
 
 use crate::Meter;
-use crate::meter::Metered;
+use crate::meter::MeteredStream;
 
 /// Largest answer that a call takes, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_BODY: usize = 64 << 20;
 
 /// Why a call has no answer.
 #[derive(Debug, thiserror::Error)]
@@ -48,7 +48,7 @@
     path: String,
     key: Option<String>,
     body: Vec<u8>,
-    limit: Duration,
+    timeout: Duration,
     meter: Option<Arc<Meter>>,
 }
 
@@ -61,7 +61,7 @@
 
 impl Call {
     /// Time limit unless another is set.
-    const LIMIT: Duration = Duration::from_secs(5);
+    const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
     /// A `GET` of `path`.
     pub fn get(peer: SocketAddr, path: impl Into<String>) -> Self {
@@ -81,7 +81,7 @@
             path,
             key: None,
             body: Vec::new(),
-            limit: Self::LIMIT,
+            timeout: Self::DEFAULT_TIMEOUT,
             meter: None,
         }
     }
@@ -99,8 +99,8 @@
     }
 
     /// Gives up after `limit`.
-    pub fn with_limit(mut self, limit: Duration) -> Self {
-        self.limit = limit;
+    pub fn with_timeout(mut self, limit: Duration) -> Self {
+        self.timeout = limit;
         self
     }
 
@@ -112,21 +112,21 @@
 
     /// Makes the call on a connection of its own.
     pub async fn send(self) -> Result<Answer, CallError> {
-        let (peer, limit) = (self.peer, self.limit);
+        let (peer, limit) = (self.peer, self.timeout);
         let stream = match timeout(limit, TcpStream::connect(peer)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(CallError::NotSent(peer, e.to_string())),
             Err(_) => return Err(CallError::NotSent(peer, "connect timed out".into())),
         };
         match timeout(limit, self.exchange(stream)).await {
-            Ok(done) => done,
+            Ok(result) => result,
             Err(_) => Err(CallError::Unknown(peer, "timed out".into())),
         }
     }
 
     async fn exchange(self, stream: TcpStream) -> Result<Answer, CallError> {
         let peer = self.peer;
-        let stream = Metered::new(stream, self.meter.clone());
+        let stream = MeteredStream::new(stream, self.meter.clone());
         let request = self
             .request()
             .map_err(|e| CallError::NotSent(peer, e.to_string()))?;
@@ -141,13 +141,13 @@
                 .await
                 .map_err(|e| unknown(&e))?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER);
+            let body = Limited::new(answer.into_body(), MAX_BODY);
             let body = body.collect().await.map_err(|e| unknown(&e))?.to_bytes();
             Ok(Answer { status, body })
         };
-        let done = exchange.await;
+        let result = exchange.await;
         driver.abort();
-        done
+        result
     }
 
     fn request(self) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -9,8 +9,8 @@
 mod reply;
 mod server;
 
-pub use body::{MAX_JSON, parse_json, read_json};
+pub use body::{MAX_JSON_BYTES, parse_json, read_json};
 pub use call::{Answer, Call, CallError};
-pub use meter::{Meter, Metered};
+pub use meter::{Meter, MeteredStream};
 pub use reply::{Body, Reply, json, text};
 pub use server::serve;
--- a/crates/http/src/meter.rs
+++ b/crates/http/src/meter.rs
@@ -17,7 +17,7 @@
 
 /// A stream that counts its bytes.
 #[derive(Debug)]
-pub struct Metered<S> {
+pub struct MeteredStream<S> {
     stream: S,
     meter: Option<Arc<Meter>>,
 }
@@ -34,13 +34,13 @@
     }
 }
 
-impl<S> Metered<S> {
+impl<S> MeteredStream<S> {
     /// Counts on `meter`, if there is one.
     pub fn new(stream: S, meter: Option<Arc<Meter>>) -> Self {
         Self { stream, meter }
     }
 
-    fn wrote(&self, bytes: usize) -> usize {
+    fn count_sent(&self, bytes: usize) -> usize {
         if let Some(meter) = &self.meter {
             meter.sent.fetch_add(bytes as u64, Ordering::Relaxed);
         }
@@ -48,7 +48,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Metered<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MeteredStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -64,14 +64,14 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Metered<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for MeteredStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let bytes = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
-        Poll::Ready(Ok(self.wrote(bytes)))
+        Poll::Ready(Ok(self.count_sent(bytes)))
     }
 
     fn poll_write_vectored(
@@ -80,7 +80,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let bytes = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, bufs))?;
-        Poll::Ready(Ok(self.wrote(bytes)))
+        Poll::Ready(Ok(self.count_sent(bytes)))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -28,12 +28,12 @@
     )
 }
 
-fn reply(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
+fn reply(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::from(body)));
     *reply.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static(kind);
+    let content_type = hyper::header::HeaderValue::from_static(content_type);
     reply
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
+        .insert(hyper::header::CONTENT_TYPE, content_type);
     reply
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -14,7 +14,7 @@
 use crate::Reply;
 
 /// Time in which a peer has to send the head of a request.
-const HEAD_LIMIT: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pause after a failed `accept`, so that running out of descriptors does not spin a core.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -38,7 +38,7 @@
             });
             let conn = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_LIMIT)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             // A peer that breaks off has no one left to tell.
             let _ = conn.await;
--- a/crates/node/src/peer_traffic.rs
+++ b/crates/node/src/peer_traffic.rs
@@ -3,14 +3,14 @@
 use std::sync::{Arc, LazyLock};
 
 use cactuswheel_adapter::{Traffic, traffic};
-use cactuswheel_http::{Meter, Metered};
+use cactuswheel_http::{Meter, MeteredStream};
 use tokio::net::TcpStream;
 
 static PEER_METER: LazyLock<Arc<Meter>> = LazyLock::new(Arc::default);
 
 /// Wraps a connection to another node so that its bytes are counted.
-pub(crate) fn metered(stream: TcpStream) -> Metered<TcpStream> {
-    Metered::new(stream, Some(PEER_METER.clone()))
+pub(crate) fn metered(stream: TcpStream) -> MeteredStream<TcpStream> {
+    MeteredStream::new(stream, Some(PEER_METER.clone()))
 }
 
 /// Bytes sent and received by this process, by kind of call; RPCs between nodes are one kind.
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -54,7 +54,7 @@
             .post(format!("/log/{stream}"))
             .with_json(&bodies)
             .map_err(|e| LogError::Unavailable(e.to_string()))?
-            .with_limit(LIMIT);
+            .with_timeout(LIMIT);
         decode(call.send().await.map_err(LogError::from)?)
     }
 
@@ -69,14 +69,16 @@
             "/log/{stream}?from={from}&max={max}&wait={}",
             wait.as_millis()
         );
-        let call = self.get(path).with_limit(wait + LIMIT);
+        let call = self.get(path).with_timeout(wait + LIMIT);
         decode(call.send().await.map_err(LogError::from)?)
     }
 }
 
 impl Roster for Client {
     async fn changes(&self, since: &str) -> Result<Changes, RosterError> {
-        let call = self.get(format!("/roster?since={since}")).with_limit(LIMIT);
+        let call = self
+            .get(format!("/roster?since={since}"))
+            .with_timeout(LIMIT);
         let answer = call.send().await.map_err(|e| RosterError(e.to_string()))?;
         if answer.status != StatusCode::OK {
             return Err(RosterError(answer.status.to_string()));
@@ -104,7 +106,7 @@
         let unknown = |e: &dyn std::fmt::Display| TaskError::Unknown(e.to_string());
         let call = self.post(path).with_json(what).map_err(|e| unknown(&e))?;
         let answer = call
-            .with_limit(LIMIT)
+            .with_timeout(LIMIT)
             .send()
             .await
             .map_err(|e| unknown(&e))?;
--- a/crates/platform/src/control.rs
+++ b/crates/platform/src/control.rs
@@ -25,7 +25,7 @@
             .post("/worker-states")
             .with_json(&instances)
             .map_err(|e| WorkerError::Unavailable(e.to_string()))?
-            .with_limit(LIMIT);
+            .with_timeout(LIMIT);
         let answer = check(call.send().await?)?;
         answer
             .json()
@@ -44,7 +44,7 @@
             .post(format!("/workers/{instance}/{what}"))
             .with_json(&order)
             .map_err(|e| WorkerError::Unavailable(e.to_string()))?
-            .with_limit(LIMIT);
+            .with_timeout(LIMIT);
         check(call.send().await?).map(drop)
     }
 }
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -8,17 +8,17 @@
 use tokio::time::sleep;
 
 /// Time that a caller waits for an answer.
-const LIMIT: Duration = Duration::from_millis(2_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Pause before a caller tries again.
-const PAUSE: Duration = Duration::from_millis(80);
+const RETRY_INTERVAL: Duration = Duration::from_millis(80);
 
 /// Time in which a job has to be accepted, or final.
-const PATIENCE: Duration = Duration::from_secs(60);
+const JOB_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A job that was accepted.
 #[derive(Debug, Clone)]
-pub struct Accepted {
+pub struct AcceptedJob {
     /// Its path, with the queue.
     pub path: String,
     /// Its identifier.
@@ -31,22 +31,22 @@
 #[derive(Debug, Clone)]
 pub struct Caller {
     nodes: Vec<SocketAddr>,
-    next: usize,
+    last: usize,
 }
 
 impl Caller {
     /// Asks `nodes` in turn, `first` first.
-    pub fn new(nodes: Vec<SocketAddr>, first: usize) -> Self {
-        Self { nodes, next: first }
+    pub fn new(nodes: Vec<SocketAddr>, start: usize) -> Self {
+        Self { nodes, last: start }
     }
 
-    fn node(&mut self) -> SocketAddr {
-        self.next += 1;
-        self.nodes[self.next % self.nodes.len()]
+    fn next_node(&mut self) -> SocketAddr {
+        self.last += 1;
+        self.nodes[self.last % self.nodes.len()]
     }
 
     /// Hands a job in, at one node after the other, until one has accepted it.
-    pub async fn submit(&mut self, queue: &str, id: u64, steps: &Value, spec: &str) -> Accepted {
+    pub async fn submit(&mut self, queue: &str, id: u64, steps: &Value, spec: &str) -> AcceptedJob {
         let id = format!("{id:016x}");
         let path = format!("{queue}{id}");
         let body = json!({ "spec": spec, "steps": steps });
@@ -55,21 +55,21 @@
             .map(|s| s["count"].as_u64().unwrap_or_default())
             .sum::<u64>();
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
-            let call = Call::post(self.node(), &path).with_limit(LIMIT);
+        while start.elapsed() < JOB_TIMEOUT {
+            let call = Call::post(self.next_node(), &path).with_timeout(REQUEST_TIMEOUT);
             let call = call.with_json(&body).expect("a job has a JSON form");
             if call.send().await.is_ok_and(|a| a.status.is_success()) {
                 let tasks = tasks as usize;
-                return Accepted { path, id, tasks };
+                return AcceptedJob { path, id, tasks };
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
         panic!("{path} was not accepted in time");
     }
 
     /// Status and state of a job, if a node says.
-    pub async fn ask(&mut self, path: &str) -> Option<(u16, String)> {
-        let call = Call::get(self.node(), path).with_limit(LIMIT);
+    pub async fn job_status(&mut self, path: &str) -> Option<(u16, String)> {
+        let call = Call::get(self.next_node(), path).with_timeout(REQUEST_TIMEOUT);
         let answer = call.send().await.ok()?;
         let body: Value = answer.json().unwrap_or_default();
         let state = body["state"].as_str().unwrap_or_default().to_owned();
@@ -77,15 +77,15 @@
     }
 
     /// Waits for a final state; an error tells what was wrong.
-    pub async fn wait(&mut self, job: &Accepted) -> Result<String, String> {
+    pub async fn wait(&mut self, job: &AcceptedJob) -> Result<String, String> {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
-            match self.ask(&job.path).await {
+        while start.elapsed() < JOB_TIMEOUT {
+            match self.job_status(&job.path).await {
                 Some((200, state)) if ["complete", "failed", "cancelled"].contains(&&state[..]) => {
                     return Ok(state);
                 }
                 Some((410, _)) => return Err(format!("{}: unknown, though accepted", job.path)),
-                _ => sleep(PAUSE).await,
+                _ => sleep(RETRY_INTERVAL).await,
             }
         }
         Err(format!("{}: no final state in time", job.path))
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -9,7 +9,7 @@
 mod soak;
 mod world;
 
-pub use caller::{Accepted, Caller};
+pub use caller::{AcceptedJob, Caller};
 pub use node::Node;
 pub use proxy::{Mode, Proxy};
 pub use soak::{Report, soak};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -20,17 +20,17 @@
     let mut failed = 0;
     for seed in *first..first + count {
         let report = runtime.block_on(soak(seed, nodes, Duration::from_secs(*seconds)));
-        let broken = report.broken.len();
+        let violations = report.violations.len();
         println!(
-            "seed {seed}: {} jobs, {} faults, {broken} broken",
+            "seed {seed}: {} jobs, {} faults, {violations} broken",
             report.jobs,
             report.faults.len()
         );
-        if broken == 0 {
+        if violations == 0 {
             continue;
         }
         failed += 1;
-        for line in report.broken.iter().take(8).chain(&report.faults) {
+        for line in report.violations.iter().take(8).chain(&report.faults) {
             println!("  {line}");
         }
         let log = std::env::temp_dir().join(format!("soak-{seed}.log"));
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 /// Lines of a node's log that are kept.
-const KEPT: usize = 20_000;
+const MAX_LINES: usize = 20_000;
 
 /// A node as a child process; it may be started again after its end.
 #[derive(Debug)]
@@ -35,20 +35,20 @@
         host: IpAddr,
         port: u16,
         store: SocketAddr,
-        cloud: SocketAddr,
-        own: &Value,
+        instances: SocketAddr,
+        overrides: &Value,
     ) -> Self {
-        let at = |n: u16| SocketAddr::new(host, port + n);
+        let addr = |n: u16| SocketAddr::new(host, port + n);
         let mut settings = json!({
             "node": name, "zone": "local",
-            "listen": { "callers": at(0), "ready": at(1), "peers": at(2), "metrics": at(3) },
-            "store": store, "parts": 3, "instances": cloud,
+            "listen": { "callers": addr(0), "ready": addr(1), "peers": addr(2), "metrics": addr(3) },
+            "store": store, "parts": 3, "instances": instances,
             "times": {
                 "revoke_ms": 5000, "lease_ms": 6000, "kept_s": 120, "grace_s": 6,
                 "maintain_s": 0.4, "order_ms": 1000, "pace_ms": 100,
             },
         });
-        for (field, value) in own.as_object().into_iter().flatten() {
+        for (field, value) in overrides.as_object().into_iter().flatten() {
             settings[field] = value.clone();
         }
         let file = format!("cactuswheel-{}-{name}-{host}.json", std::process::id());
@@ -57,9 +57,9 @@
         Self {
             name: name.to_owned(),
             settings: path,
-            callers: at(0),
-            ready: at(1),
-            metrics: at(3),
+            callers: addr(0),
+            ready: addr(1),
+            metrics: addr(3),
             child: None,
             lines: Arc::default(),
         }
@@ -81,7 +81,7 @@
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
                 let mut kept = lines.lock().unwrap_or_else(PoisonError::into_inner);
-                if kept.len() < KEPT {
+                if kept.len() < MAX_LINES {
                     kept.push(line);
                 }
             }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::{Accepted, Mode, World};
+use crate::{AcceptedJob, Mode, World};
 
 /// Callers at a time.
 const CALLERS: u64 = 4;
@@ -20,7 +20,7 @@
     /// What was done to the system, in order.
     pub faults: Vec<String>,
     /// Promises that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// The nodes' logs, if one was.
     pub logs: Vec<String>,
 }
@@ -32,22 +32,28 @@
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| {
             let caller = world.caller(number as usize);
-            tokio::spawn(call(caller, Rng::new(seed ^ (number + 1) << 32), time))
+            tokio::spawn(submit_jobs(
+                caller,
+                Rng::new(seed ^ (number + 1) << 32),
+                time,
+            ))
         })
         .collect();
     let mut report = Report::default();
     let start = Instant::now();
     while start.elapsed() < time {
         sleep(Duration::from_millis(200 + rng.below(900))).await;
-        let fault = disturb(&mut world, &mut rng);
+        let fault = inject_fault(&mut world, &mut rng);
         report.faults.push(format!("{:?} {fault}", start.elapsed()));
     }
     heal(&mut world);
-    let mut accepted: Vec<Accepted> = Vec::new();
+    let mut accepted: Vec<AcceptedJob> = Vec::new();
     for caller in callers {
         match caller.await {
             Ok(jobs) => accepted.extend(jobs),
-            Err(e) => report.broken.push(format!("a caller was not served: {e}")),
+            Err(e) => report
+                .violations
+                .push(format!("a caller was not served: {e}")),
         }
     }
     report.jobs = accepted.len();
@@ -55,19 +61,19 @@
     for job in &accepted {
         match caller.wait(job).await {
             Ok(state) if state == "complete" => {}
-            Ok(state) => report.broken.push(format!("{} is {state}", job.path)),
-            Err(e) => report.broken.push(e),
+            Ok(state) => report.violations.push(format!("{} is {state}", job.path)),
+            Err(e) => report.violations.push(e),
         }
     }
     // Ends are acknowledged a moment after a job is shown as complete.
     sleep(Duration::from_secs(1)).await;
     report
-        .broken
+        .violations
         .extend(world.platform.ledger(|l| l.broken.clone()));
     for job in &accepted {
         let starts = world.platform.ledger(|l| l.starts_of(&job.id));
         if (starts as usize) < job.tasks {
-            report.broken.push(format!(
+            report.violations.push(format!(
                 "{}: {starts} starts, {} tasks",
                 job.path, job.tasks
             ));
@@ -75,16 +81,16 @@
     }
     for node in &mut world.nodes {
         if node.has_failed() {
-            report.broken.push("a node ended by itself".to_owned());
+            report.violations.push("a node ended by itself".to_owned());
         }
     }
-    if !report.broken.is_empty() {
+    if !report.violations.is_empty() {
         report.logs = world.nodes.iter().flat_map(|n| n.lines()).collect();
     }
     report
 }
 
-async fn call(mut caller: crate::Caller, mut rng: Rng, time: Duration) -> Vec<Accepted> {
+async fn submit_jobs(mut caller: crate::Caller, mut rng: Rng, time: Duration) -> Vec<AcceptedJob> {
     let start = Instant::now();
     let mut accepted = Vec::new();
     while start.elapsed() < time {
@@ -97,7 +103,9 @@
             })
             .collect();
         let spec = format!("work_ms={}", 50 + rng.below(500));
-        let job = caller.submit(queue, rng.any(), &json!(steps), &spec).await;
+        let job = caller
+            .submit(queue, rng.next_u64(), &json!(steps), &spec)
+            .await;
         accepted.push(job);
         sleep(Duration::from_millis(rng.below(250))).await;
     }
@@ -105,32 +113,32 @@
 }
 
 /// Does one thing to the system; gives what it was.
-fn disturb(world: &mut World, rng: &mut Rng) -> String {
-    let place = rng.below(world.nodes.len() as u64) as usize;
+fn inject_fault(world: &mut World, rng: &mut Rng) -> String {
+    let index = rng.below(world.nodes.len() as u64) as usize;
     let mut faults = Faults::default();
     let fault = match rng.below(12) {
         0 => {
-            world.nodes[place].signal("KILL");
+            world.nodes[index].signal("KILL");
             "kill"
         }
         1 => {
-            world.nodes[place].signal("STOP");
+            world.nodes[index].signal("STOP");
             "stop"
         }
         2 => {
-            world.nodes[place].signal("TERM");
+            world.nodes[index].signal("TERM");
             "term"
         }
         3 => {
-            let modes = [Mode::Silent, Mode::OneWay, Mode::Reset, Mode::Delay];
-            world.proxies[place].set(*rng.pick(&modes));
+            let modes = [Mode::Stall, Mode::StallReplies, Mode::Reset, Mode::Delay];
+            world.proxies[index].set_mode(*rng.pick(&modes));
             "store's link"
         }
         4 | 5 => {
             let pause = Duration::from_millis(100 + rng.below(1_500));
             world
                 .platform
-                .crash(place + rng.below(5) as usize, pause, rng.chance(50));
+                .crash(index + rng.below(5) as usize, pause, rng.chance(50));
             "worker crash"
         }
         6 => {
@@ -150,7 +158,7 @@
             "compaction"
         }
         10 => {
-            world.configure();
+            world.publish_config();
             "configuration"
         }
         _ => {
@@ -161,22 +169,22 @@
     world.platform.set_faults(faults);
     // Most faults end before the next but one, as they do at the customers'.
     if rng.chance(50) {
-        revive(world);
+        restore_nodes(world);
     }
-    format!("{fault} at n{place}")
+    format!("{fault} at n{index}")
 }
 
-fn revive(world: &mut World) {
+fn restore_nodes(world: &mut World) {
     for node in &mut world.nodes {
         node.signal("CONT");
         node.start();
     }
     for proxy in &world.proxies {
-        proxy.set(Mode::Pass);
+        proxy.set_mode(Mode::Pass);
     }
 }
 
 fn heal(world: &mut World) {
     world.platform.set_faults(Faults::default());
-    revive(world);
+    restore_nodes(world);
 }
--- a/crates/testkit/src/chaos.rs
+++ b/crates/testkit/src/chaos.rs
@@ -16,9 +16,9 @@
     /// A message is lost.
     pub loss: u32,
     /// A message arrives twice.
-    pub twice: u32,
+    pub duplicate: u32,
     /// Longest pause or cut.
-    pub longest: Duration,
+    pub max_duration: Duration,
 }
 
 impl Chaos {
@@ -29,18 +29,18 @@
         platform_cut: 0,
         cut: 0,
         loss: 0,
-        twice: 0,
-        longest: Duration::ZERO,
+        duplicate: 0,
+        max_duration: Duration::ZERO,
     };
 
     /// A bit of everything.
-    pub const ROUGH: Self = Self {
+    pub const MIXED: Self = Self {
         pause: 2,
         replace: 1,
         platform_cut: 2,
         cut: 2,
         loss: 5,
-        twice: 5,
-        longest: Duration::from_secs(20),
+        duplicate: 5,
+        max_duration: Duration::from_secs(20),
     };
 }
--- a/crates/testkit/src/fake_log.rs
+++ b/crates/testkit/src/fake_log.rs
@@ -10,18 +10,18 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LogFaults {
     /// The append takes effect and its answer is lost.
-    pub lost: u32,
+    pub lost_replies: u32,
     /// The append takes no effect and its answer is lost.
-    pub dropped: u32,
+    pub dropped_appends: u32,
     /// The append takes effect twice, as when something on the way sends it again.
-    pub doubled: u32,
+    pub duplicated_appends: u32,
 }
 
 /// Why a call to the fake log has no result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FakeLogError {
     /// It took no effect.
-    Down,
+    Unavailable,
     /// It may have taken effect.
     Unknown,
     /// Records below this offset are gone.
@@ -50,7 +50,7 @@
     /// What goes wrong with appends.
     pub faults: LogFaults,
     /// Every call is refused without effect.
-    pub down: bool,
+    pub unavailable: bool,
 }
 
 impl<R: Clone> FakeLog<R> {
@@ -61,24 +61,24 @@
             first: Offset::default(),
             rng: Rng::new(seed),
             faults: LogFaults::default(),
-            down: false,
+            unavailable: false,
         }
     }
 
     /// Appends `records` next to each other; the offset of the first.
     pub fn append(&mut self, records: &[R]) -> Result<Offset, FakeLogError> {
-        if self.down {
-            return Err(FakeLogError::Down);
+        if self.unavailable {
+            return Err(FakeLogError::Unavailable);
         }
-        if self.rng.chance(self.faults.dropped) {
+        if self.rng.chance(self.faults.dropped_appends) {
             return Err(FakeLogError::Unknown);
         }
         let offset = self.head();
         self.records.extend(records.iter().cloned());
-        if self.rng.chance(self.faults.doubled) {
+        if self.rng.chance(self.faults.duplicated_appends) {
             self.records.extend(records.iter().cloned());
         }
-        if self.rng.chance(self.faults.lost) {
+        if self.rng.chance(self.faults.lost_replies) {
             return Err(FakeLogError::Unknown);
         }
         Ok(offset)
@@ -86,8 +86,8 @@
 
     /// Up to `max` records from `from` on.
     pub fn read(&self, from: Offset, max: usize) -> Result<FakeBatch<R>, FakeLogError> {
-        if self.down {
-            return Err(FakeLogError::Down);
+        if self.unavailable {
+            return Err(FakeLogError::Unavailable);
         }
         if from < self.first {
             return Err(FakeLogError::Trimmed(self.first));
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -15,7 +15,7 @@
 pub use chaos::Chaos;
 pub use check::check;
 pub use fake_log::{FakeBatch, FakeLog, FakeLogError, LogFaults};
-pub use node::{Node, Post};
+pub use node::{Node, Outbox};
 pub use rng::Rng;
 pub use seed::Seed;
 pub use world::World;
--- a/crates/wire/src/answers.rs
+++ b/crates/wire/src/answers.rs
@@ -21,7 +21,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Answers of an entry; each is quick and waits for nothing.
-pub trait Answers: Clone + Send + Sync + 'static {
+pub trait PeerHandler: Clone + Send + Sync + 'static {
     /// Takes a peer's beat and gives this entry's.
     fn beat(&self, beat: Beat) -> Beat;
     /// Up to `max` records from `from` on; none if they are not held.
@@ -32,18 +32,18 @@
 }
 
 /// Answers peers on `listener` until the task is dropped.
-pub async fn serve<A: Answers>(listener: TcpListener, answers: A) {
+pub async fn serve<H: PeerHandler>(listener: TcpListener, handler: H) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        tokio::spawn(converse(stream, Server(answers.clone())));
+        tokio::spawn(serve_connection(stream, Server(handler.clone())));
     }
 }
 
-async fn converse<A: Answers>(stream: TcpStream, server: Server<A>) {
+async fn serve_connection<H: PeerHandler>(stream: TcpStream, server: Server<H>) {
     let framed = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME)
         .new_framed(stream);
@@ -57,9 +57,9 @@
 }
 
 #[derive(Clone)]
-struct Server<A>(A);
+struct Server<H>(H);
 
-impl<A: Answers> Peer for Server<A> {
+impl<H: PeerHandler> Peer for Server<H> {
     async fn beat(self, _: Context, beat: Bytes) -> Bytes {
         match decode(&beat) {
             Ok(beat) => encode(&self.0.beat(beat)).unwrap_or_default(),
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -7,7 +7,7 @@
 use crate::WireError;
 
 /// Deepest nesting of a message.
-const DEPTH: usize = 16;
+const MAX_DEPTH: usize = 16;
 
 /// Encodes a message.
 pub fn encode<T: TSerializable>(message: &T) -> Result<Bytes, WireError> {
@@ -22,13 +22,13 @@
 /// reserves memory for it at once. No list or string can be longer than the bytes that came,
 /// so that is the bound.
 pub fn decode<T: TSerializable>(bytes: &[u8]) -> Result<T, WireError> {
-    let size = bytes.len().max(1);
+    let max_size = bytes.len().max(1);
     let config = TConfiguration::builder()
-        .max_message_size(Some(size))
-        .max_frame_size(Some(size))
-        .max_container_size(Some(size))
-        .max_string_size(Some(size))
-        .max_recursion_depth(Some(DEPTH))
+        .max_message_size(Some(max_size))
+        .max_frame_size(Some(max_size))
+        .max_container_size(Some(max_size))
+        .max_string_size(Some(max_size))
+        .max_recursion_depth(Some(MAX_DEPTH))
         .build()?;
     let mut input = TCompactInputProtocol::with_config(bytes, config);
     Ok(T::read_from_in_protocol(&mut input)?)
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -10,7 +10,7 @@
 mod link;
 mod peer;
 
-pub use answers::{Answers, serve};
+pub use answers::{PeerHandler, serve};
 pub use codec::{decode, encode};
 pub use error::WireError;
 pub use generated::peer::{Beat, Chunk, Denial, Given, Tail};
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -17,10 +17,10 @@
 pub(crate) const MAX_FRAME: usize = 1 << 20;
 
 /// Time for a connection to a peer.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time for a call.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Calls one peer; copies share the connection.
 #[derive(Debug, Clone)]
@@ -33,7 +33,7 @@
     pub async fn connect(peer: SocketAddr) -> Result<Self, WireError> {
         let mut connect = tcp::connect(peer, Bincode::default);
         connect.config_mut().max_frame_length(MAX_FRAME);
-        let transport = timeout(CONNECT_LIMIT, connect)
+        let transport = timeout(CONNECT_TIMEOUT, connect)
             .await
             .map_err(|_| WireError::Timeout)??;
         Ok(Self {
@@ -65,6 +65,6 @@
 
 fn context() -> Context {
     let mut context = context::current();
-    context.deadline = Instant::now() + CALL_LIMIT;
+    context.deadline = Instant::now() + CALL_TIMEOUT;
     context
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-/// Calls between entries, as [`crate::Answers`] tells them.
+/// Calls between entries, as [`crate::PeerHandler`] tells them.
 #[tarpc::service]
 pub(crate) trait Peer {
     async fn beat(beat: Bytes) -> Bytes;
