--- a/crates/http/src/call.rs
+++ b/crates/http/src/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call with a time limit.
+//! One HTTP call with a timeout.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,30 +17,31 @@
 use crate::Meter;
 use crate::meter::MeteredStream;
 
-/// Largest answer that a call takes, in bytes.
+/// Largest response body that a call accepts, in bytes.
 const MAX_BODY: usize = 64 << 20;
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection, or the request was given back unsent: it did not take effect.
+    /// The connection failed or the request was not sent: the call took no effect.
     #[error("{0} cannot be reached: {1}")]
     NotSent(SocketAddr, String),
-    /// It was sent and no whole answer came back: it may have taken effect.
+    /// The request may have been sent, and no complete response arrived: the call may have taken
+    /// effect.
     #[error("{0} gave no answer: {1}")]
     Unknown(SocketAddr, String),
 }
 
-/// A status and a whole body.
+/// A complete response.
 #[derive(Debug)]
 pub struct Answer {
-    /// HTTP status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The body.
+    /// The whole response body.
     pub body: Bytes,
 }
 
-/// A call to be made.
+/// An HTTP request to one peer, built with the `with_` methods and sent with [`Call::send`].
 #[derive(Debug, Clone)]
 pub struct Call {
     peer: SocketAddr,
@@ -48,27 +49,27 @@
     path: String,
     key: Option<String>,
     body: Vec<u8>,
-    timeout: Duration,
+    time_limit: Duration,
     meter: Option<Arc<Meter>>,
 }
 
 impl Answer {
-    /// Decodes the body.
+    /// Decodes the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 }
 
 impl Call {
-    /// Time limit unless another is set.
+    /// Timeout unless [`Call::with_timeout`] sets another.
     const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-    /// A `GET` of `path`.
+    /// Creates a `GET` request for `path`.
     pub fn get(peer: SocketAddr, path: impl Into<String>) -> Self {
         Self::new(peer, Method::GET, path)
     }
 
-    /// A `POST` to `path`.
+    /// Creates a `POST` request to `path`.
     pub fn post(peer: SocketAddr, path: impl Into<String>) -> Self {
         Self::new(peer, Method::POST, path)
     }
@@ -81,38 +82,39 @@
             path,
             key: None,
             body: Vec::new(),
-            timeout: Self::DEFAULT_TIMEOUT,
+            time_limit: Self::DEFAULT_TIMEOUT,
             meter: None,
         }
     }
 
-    /// Sends `key` as a bearer token.
+    /// Sets the bearer token of the request.
     pub fn with_key(mut self, key: impl Into<String>) -> Self {
         self.key = Some(key.into());
         self
     }
 
-    /// Sends `value` as JSON.
+    /// Sets the body of the request to `value`, encoded as JSON.
     pub fn with_json<T: Serialize>(mut self, value: &T) -> Result<Self, serde_json::Error> {
         self.body = serde_json::to_vec(value)?;
         Ok(self)
     }
 
-    /// Gives up after `limit`.
+    /// Sets the timeout. It applies to connecting and then again to the exchange of request and
+    /// response, so a call takes up to twice as long.
     pub fn with_timeout(mut self, limit: Duration) -> Self {
-        self.timeout = limit;
+        self.time_limit = limit;
         self
     }
 
-    /// Counts the call's bytes on `meter`.
+    /// Counts the bytes of the call in `meter`.
     pub fn with_meter(mut self, meter: Arc<Meter>) -> Self {
         self.meter = Some(meter);
         self
     }
 
-    /// Makes the call on a connection of its own.
+    /// Sends the request over a new connection and waits for the whole response.
     pub async fn send(self) -> Result<Answer, CallError> {
-        let (peer, limit) = (self.peer, self.timeout);
+        let (peer, limit) = (self.peer, self.time_limit);
         let stream = match timeout(limit, TcpStream::connect(peer)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(CallError::NotSent(peer, e.to_string())),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! The little HTTP that the control side shares: one JSON call with a time limit, and a
-//! server loop for JSON handlers.
+//! Shared HTTP code of the control plane: a JSON call with a timeout, and a server loop for JSON
+//! handlers.
 //!
-//! Not the path of a caller's request: `cactuswheeld` has its own proxy for that.
+//! It is not used for forwarding callers' requests: `cactuswheeld` has a proxy of its own for that.
 
 mod body;
 mod call;
--- a/crates/http/src/meter.rs
+++ b/crates/http/src/meter.rs
@@ -1,4 +1,4 @@
-//! Bytes of calls.
+//! Counts the bytes that calls send and receive.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -8,14 +8,15 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Counts what calls put on the wire, heads and bodies, without what TCP adds.
+/// Counts the bytes of HTTP heads and bodies that calls send and receive, without the overhead of
+/// TCP.
 #[derive(Debug, Default)]
 pub struct Meter {
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-/// A stream that counts its bytes.
+/// A stream that counts the bytes read and written.
 #[derive(Debug)]
 pub struct MeteredStream<S> {
     stream: S,
@@ -35,7 +36,7 @@
 }
 
 impl<S> MeteredStream<S> {
-    /// Counts on `meter`, if there is one.
+    /// Wraps `stream`; counts nothing if `meter` is `None`.
     pub fn new(stream: S, meter: Option<Arc<Meter>>) -> Self {
         Self { stream, meter }
     }
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,17 +1,17 @@
-//! Answers of control servers.
+//! Responses of control servers.
 
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use serde::Serialize;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = Full<Bytes>;
 
-/// An answer.
+/// A response.
 pub type Reply = Response<Body>;
 
-/// Answers with JSON.
+/// A response with `value` as JSON; a response with status 500 if `value` cannot be encoded.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Reply {
     match serde_json::to_vec(value) {
         Ok(body) => reply(status, "application/json", body),
@@ -19,7 +19,7 @@
     }
 }
 
-/// Answers with plain text.
+/// A response in plain text.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Reply {
     reply(
         status,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! A server loop for control handlers.
+//! An HTTP server loop for control servers.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -13,13 +13,15 @@
 
 use crate::Reply;
 
-/// Time in which a peer has to send the head of a request.
+/// Timeout for a peer to send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause after a failed `accept`, so that running out of descriptors does not spin a core.
+/// Pause after a failed `accept`. Without it, the loop would keep a core busy while the process is
+/// out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers requests on `listener` with `handler` until the task is dropped.
+/// Accepts connections on `listener` and answers their requests with `handler` until the task is
+/// dropped.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -40,7 +42,8 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // A peer that breaks off has no one left to tell.
+            // Errors are ignored: the peer has broken the connection, so it cannot be sent a
+            // response.
             let _ = conn.await;
         });
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,7 +1,9 @@
-//! Real nodes as separate processes on loopback, with faults from outside them: signals, proxies
-//! that silence, delay and reset, workers that crash, a store that forgets and refuses.
+//! Randomized fault soak: runs real nodes as separate processes on loopback and injects faults
+//! from outside them: signals to nodes, proxies that stall, delay and reset connections, worker
+//! crashes, and a store that compacts its history, loses replies and rejects requests.
 //!
-//! Test support. It judges by what callers and workers see. It ends only what it has started.
+//! Test support only. Whether a run passes is decided by what callers and workers observe. It
+//! terminates only processes that it has started.
 
 mod caller;
 mod node;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs the soak by hand: `soak FIRST_SEED COUNT SECONDS [NODES]`.
+//! Runs the soak from the command line, one run for each seed:
+//! `soak FIRST_SEED COUNT SECONDS [NODES]`.
 
 use std::process::ExitCode;
 use std::time::Duration;
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,4 +1,4 @@
-//! A node as a child process.
+//! A node that runs as a child process.
 
 use std::io::{BufRead, BufReader};
 use std::net::{IpAddr, SocketAddr};
@@ -9,27 +9,27 @@
 use cactuswheel_e2e::Process;
 use serde_json::{Value, json};
 
-/// Lines of a node's log that are kept.
+/// Maximum number of log lines kept for each node; later lines are discarded.
 const MAX_LINES: usize = 20_000;
 
-/// A node as a child process; it may be started again after its end.
+/// A node that runs as a child process and can be restarted after it has exited.
 #[derive(Debug)]
 pub struct Node {
     name: String,
     settings: PathBuf,
-    /// Where it takes callers.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Where it tells whether it takes connections.
+    /// Address of the readiness check.
     pub ready: SocketAddr,
-    /// Where it tells its metrics.
+    /// Address that serves the metrics.
     pub metrics: SocketAddr,
     child: Option<Child>,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Node {
-    /// A node that is not started yet, on four ports from `port` on, with these settings over
-    /// the usual ones.
+    /// Writes the settings file of a node without starting it. The node listens on the four ports
+    /// from `port` on. Each field in `overrides` replaces that field of the default settings.
     pub fn new(
         name: &str,
         host: IpAddr,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Starts it, unless it runs.
+    /// Starts the node's process unless it is running.
     pub fn start(&mut self) {
         if self.is_running() {
             return;
@@ -80,22 +80,22 @@
         let lines = self.lines.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(out).lines().map_while(Result::ok) {
-                let mut kept = lines.lock().unwrap_or_else(PoisonError::into_inner);
-                if kept.len() < MAX_LINES {
-                    kept.push(line);
+                let mut log = lines.lock().unwrap_or_else(PoisonError::into_inner);
+                if log.len() < MAX_LINES {
+                    log.push(line);
                 }
             }
         });
         self.child = Some(child);
     }
 
-    /// Whether its process lives.
+    /// Whether the process has been started and has not exited.
     pub fn is_running(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
-    /// Sends a signal, by name as `kill` takes it.
+    /// Sends a signal to the process if it is running. `name` is a signal name for `kill -s`.
     pub fn signal(&mut self, name: &str) {
         if !self.is_running() {
             return;
@@ -108,20 +108,21 @@
         assert!(status.is_ok(), "kill -s {name} {id}");
     }
 
-    /// Whether it ended by itself with an error.
+    /// Whether the process has exited with a non-zero code. A process terminated by a signal has no
+    /// exit code and does not count.
     pub fn has_failed(&mut self) -> bool {
         let status = self.child.as_mut().and_then(|c| c.try_wait().ok()?);
         status.is_some_and(|s| s.code().is_some_and(|c| c != 0))
     }
 
-    /// The lines of its log whose message is `message`.
+    /// The parsed log lines whose message equals `message`, oldest first.
     pub fn log(&self, message: &str) -> Vec<Value> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         let parsed = lines.iter().filter_map(|l| serde_json::from_str(l).ok());
         parsed.filter(|l: &Value| l["message"] == message).collect()
     }
 
-    /// Its whole log.
+    /// All log lines kept, each prefixed with the node's name.
     pub fn lines(&self) -> Vec<String> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.iter().map(|l| format!("{} {l}", self.name)).collect()
@@ -131,7 +132,7 @@
 impl Drop for Node {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // It may have ended already; there is nothing to do then.
+            // Errors are ignored: the process may have exited already.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that misbehaves.
+//! A TCP proxy on loopback that injects network faults.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -9,41 +9,44 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// What becomes of bytes.
+/// How the proxy treats the bytes of its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
-    /// They go through.
+    /// Forwards bytes unchanged.
     Pass,
-    /// They go through later.
+    /// Forwards bytes after `ADDED_LATENCY`.
     Delay,
-    /// None goes through in either direction, and nothing says so.
+    /// Forwards nothing in either direction and keeps connections open, so neither end sees an
+    /// error. Bytes already read are forwarded once the mode changes.
     Stall,
-    /// Requests go through, answers do not.
+    /// Forwards requests, and stalls replies as in `Stall`.
     StallReplies,
-    /// Connections are reset.
+    /// Resets or closes all connections, including new ones.
     Reset,
 }
 
-/// Time by which bytes are held up.
+/// Delay of each chunk of bytes in [`Mode::Delay`].
 const ADDED_LATENCY: Duration = Duration::from_millis(120);
 
-/// How often a held connection looks whether bytes may pass.
+/// Interval at which connections check whether the mode has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A proxy in front of one address; copies share it.
+/// A proxy in front of one address. Clones share its state.
 #[derive(Debug, Clone)]
 pub struct Proxy {
     addr: SocketAddr,
     mode: Arc<AtomicU8>,
-    /// Bytes a second that go through in each direction, over all connections; 0 for no bound.
+    /// Rate limit in bytes per second for each direction, shared by all connections; 0 means no
+    /// limit.
     rate: Arc<AtomicU64>,
-    /// When the bytes that were let through before are through: there and back.
+    /// When all bytes accepted so far will have been sent under the rate limit, by direction:
+    /// replies (0) and requests (1).
     busy_until: Arc<[Mutex<Instant>; 2]>,
 }
 
 impl Proxy {
-    /// Listens on `host` for `target`.
+    /// Listens on a free port of `host` and forwards connections to `target`.
     pub async fn start(host: IpAddr, target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((host, 0)).await?;
         let proxy = Self {
@@ -61,22 +64,23 @@
         Ok(proxy)
     }
 
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Switches what becomes of bytes, on open connections too.
+    /// Sets the mode; this applies to open connections too.
     pub fn set_mode(&self, mode: Mode) {
         self.mode.store(mode as u8, Ordering::Relaxed);
     }
 
-    /// Lets only so many bytes a second through in each direction, over all connections.
+    /// Limits the rate, in bytes per second for each direction, over all connections; 0 means no
+    /// limit.
     pub fn limit_rate(&self, rate: u64) {
         self.rate.store(rate, Ordering::Relaxed);
     }
 
-    /// Waits until so many bytes are through.
+    /// Waits as long as `len` bytes take under the rate limit, after the bytes before them.
     async fn throttle(&self, len: usize, to_server: bool) {
         let rate = self.rate.load(Ordering::Relaxed);
         if rate == 0 {
@@ -104,7 +108,7 @@
         let (mut from_server, mut to_server) = server.into_split();
         let requests = self.copy(&mut from_caller, &mut to_server, true);
         let replies = self.copy(&mut from_server, &mut to_caller, false);
-        // Either end closes the connection; dropping both halves resets or ends the other.
+        // Once either direction has ended, dropping all halves closes or resets both connections.
         tokio::select! {
             () = requests => {}
             () = replies => {}
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! Random faults while callers hand jobs in.
+//! Injects random faults while callers submit jobs, then checks the results.
 
 use std::time::{Duration, Instant};
 
@@ -9,23 +9,24 @@
 
 use crate::{AcceptedJob, Mode, World};
 
-/// Callers at a time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 4;
 
-/// What a run showed.
+/// Result of one soak run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Jobs that were accepted.
+    /// Number of jobs accepted.
     pub jobs: usize,
-    /// What was done to the system, in order.
+    /// Injected faults in order, each with the time since the start of the run.
     pub faults: Vec<String>,
-    /// Promises that were broken.
+    /// Violated guarantees; empty if the run passed.
     pub violations: Vec<String>,
-    /// The nodes' logs, if one was.
+    /// Log lines of all nodes; empty if the run passed.
     pub logs: Vec<String>,
 }
 
-/// Runs callers for `time` under faults drawn from `seed`, heals, and judges.
+/// Runs callers for `time` under faults drawn from `seed`, ends all faults, and then checks that
+/// each accepted job completes and that no guarantee was violated.
 pub async fn soak(seed: u64, nodes: usize, time: Duration) -> Report {
     let mut world = World::start(nodes, seed).await;
     let mut rng = Rng::new(seed);
@@ -51,9 +52,7 @@
     for caller in callers {
         match caller.await {
             Ok(jobs) => accepted.extend(jobs),
-            Err(e) => report
-                .violations
-                .push(format!("a caller was not served: {e}")),
+            Err(e) => report.violations.push(format!("a caller task failed: {e}")),
         }
     }
     report.jobs = accepted.len();
@@ -65,7 +64,7 @@
             Err(e) => report.violations.push(e),
         }
     }
-    // Ends are acknowledged a moment after a job is shown as complete.
+    // The end of a run is acknowledged to its worker shortly after its job is reported as complete.
     sleep(Duration::from_secs(1)).await;
     report
         .violations
@@ -81,7 +80,9 @@
     }
     for node in &mut world.nodes {
         if node.has_failed() {
-            report.violations.push("a node ended by itself".to_owned());
+            report
+                .violations
+                .push("a node exited with an error".to_owned());
         }
     }
     if !report.violations.is_empty() {
@@ -90,6 +91,7 @@
     report
 }
 
+/// Submits random jobs, one after another, until `time` has passed.
 async fn submit_jobs(mut caller: crate::Caller, mut rng: Rng, time: Duration) -> Vec<AcceptedJob> {
     let start = Instant::now();
     let mut accepted = Vec::new();
@@ -112,7 +114,8 @@
     accepted
 }
 
-/// Does one thing to the system; gives what it was.
+/// Injects one random fault, or ends all faults; returns its description. Each call replaces the
+/// faults of the platform that the call before it has set.
 fn inject_fault(world: &mut World, rng: &mut Rng) -> String {
     let index = rng.below(world.nodes.len() as u64) as usize;
     let mut faults = Faults::default();
@@ -167,13 +170,15 @@
         }
     };
     world.platform.set_faults(faults);
-    // Most faults end before the next but one, as they do at the customers'.
+    // Restores nodes after half of the faults, so that most faults end before the next but one is
+    // injected, as most faults at customers do.
     if rng.chance(50) {
         restore_nodes(world);
     }
     format!("{fault} at n{index}")
 }
 
+/// Resumes stopped nodes, restarts nodes that have exited, and ends the faults of all proxies.
 fn restore_nodes(world: &mut World) {
     for node in &mut world.nodes {
         node.signal("CONT");
@@ -184,6 +189,7 @@
     }
 }
 
+/// Ends the faults of the platform, the nodes and the proxies.
 fn heal(world: &mut World) {
     world.platform.set_faults(Faults::default());
     restore_nodes(world);
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! A small platform with some nodes.
+//! The test environment: a local platform and nodes that run as processes.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -11,32 +11,34 @@
 
 use crate::{Caller, Node, Proxy};
 
-/// First port of the first node; each node has four.
+/// First port of the first node; each node uses four consecutive ports.
 const FIRST_PORT: u16 = 8_100;
 
-/// Time in which all nodes have to be ready.
+/// Timeout for all nodes to become ready, and again for a node to own the cell.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A small platform with some nodes, each behind a proxy to the store.
+/// A local platform and several nodes, each of which reaches the store through a proxy of its own.
 pub struct World {
-    /// The platform.
+    /// The local platform: store, instances and workers.
     pub platform: Platform,
-    /// The nodes.
+    /// The nodes; node `i` is named `n{i}`.
     pub nodes: Vec<Node>,
-    /// The nodes' proxies to the store, in the same order.
+    /// The proxies between the nodes and the store, in the order of `nodes`.
     pub proxies: Vec<Proxy>,
     host: IpAddr,
+    /// Version of the configuration published last.
     version: u64,
 }
 
 impl World {
-    /// Starts a platform with two pools and a spare one, and `count` nodes, and waits until they
-    /// are ready.
+    /// Starts a platform with two pools and a spare pool, and `count` nodes. Waits until all nodes
+    /// are ready and one of them owns the cell.
     pub async fn start(count: usize, seed: u64) -> Self {
         Self::with_settings(count, seed, |_| json!({})).await
     }
 
-    /// The same with settings of its own for each node, over the usual ones.
+    /// Like [`World::start`], with each field in `overrides(i)` replacing that field of node `i`'s
+    /// default settings.
     pub async fn with_settings(
         count: usize,
         seed: u64,
@@ -68,13 +70,13 @@
             let proxy = proxy.expect("loopback has free ports");
             let port = FIRST_PORT + 4 * number as u16;
             let name = format!("n{number}");
-            let instances = world.platform.instances();
+            let control_addr = world.platform.instances();
             let mut node = Node::new(
                 &name,
                 host,
                 port,
                 proxy.addr(),
-                instances,
+                control_addr,
                 &overrides(number),
             );
             node.start();
@@ -86,7 +88,8 @@
         world
     }
 
-    /// Puts the next version of the configuration in force.
+    /// Publishes the next version of the configuration. Its content stays the same; version numbers
+    /// have gaps.
     pub fn publish_config(&mut self) {
         self.version += 1 + self.version % 3;
         let queue = |name: &str, prefix: &str, service: &str| {
@@ -106,7 +109,8 @@
         self.platform.put("config", &config);
     }
 
-    /// Asks for maintenance of every instance.
+    /// Starts a maintenance wave of all instances. `cap` is the wave's maximum number of instances
+    /// in maintenance at a time.
     pub fn start_wave(&self, cap: u32) {
         let names = [("main", 3), ("other", 2), ("off", 2)]
             .into_iter()
@@ -116,17 +120,17 @@
         self.platform.put("wave/1", &wave);
     }
 
-    /// A caller of one node only.
+    /// A caller that calls one node only.
     pub fn caller_of(&self, node: usize) -> Caller {
         Caller::new(vec![self.nodes[node].callers], 0)
     }
 
-    /// A caller of all nodes.
+    /// A caller that calls all nodes in turn, starting with the one after index `start`.
     pub fn caller(&self, start: usize) -> Caller {
         Caller::new(self.nodes.iter().map(|n| n.callers).collect(), start)
     }
 
-    /// Waits until every node says that it is ready.
+    /// Waits until the readiness check of every node succeeds.
     pub async fn wait_ready(&mut self) {
         let start = Instant::now();
         for node in &self.nodes {
@@ -141,8 +145,8 @@
         }
     }
 
-    /// Waits until a node owns the cell: a node is ready once it has the configuration, which may
-    /// be before anybody has taken the cell over.
+    /// Waits until a node owns the cell. Readiness does not imply this: a node is ready once it has
+    /// the configuration, possibly before any node has taken over the cell.
     async fn wait_owner(&self) {
         let start = Instant::now();
         while self.owner().is_none() {
@@ -154,8 +158,8 @@
         }
     }
 
-    /// The node that owns the cell, as its log tells, if one is running that has taken it over
-    /// last.
+    /// Index of the node that has taken over the cell with the highest epoch, according to the
+    /// nodes' logs; `None` if no node has. The node may have exited or lost the ownership since.
     pub fn owner(&self) -> Option<usize> {
         let epochs = self.nodes.iter().enumerate().filter_map(|(i, n)| {
             let last = n.log("cell taken over").pop()?;
@@ -164,7 +168,7 @@
         epochs.max().map(|(_, i)| i)
     }
 
-    /// The lines of all nodes' logs whose message is `message`.
+    /// The parsed log lines of all nodes whose message equals `message`, node by node.
     pub fn log(&self, message: &str) -> Vec<Value> {
         self.nodes.iter().flat_map(|n| n.log(message)).collect()
     }
--- a/crates/soak/tests/seeds.rs
+++ b/crates/soak/tests/seeds.rs
@@ -1,13 +1,13 @@
-//! Short soaks: fixed seeds, among them every one that ever failed.
+//! Short soak runs with fixed seeds, including every seed that has failed before.
 
 use std::time::Duration;
 
 use cactuswheel_soak::soak;
 
-/// Time under faults.
+/// How long faults are injected in each run.
 const TIME: Duration = Duration::from_secs(6);
 
-/// Seeds of the short run. One that fails is added here with a line on its cause.
+/// Seeds of the short runs. Add each failing seed here with a line on its cause.
 const SEEDS: [u64; 2] = [1, 2];
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/testkit/src/chaos.rs
+++ b/crates/testkit/src/chaos.rs
@@ -1,23 +1,24 @@
-//! Which faults a world draws by itself.
+//! Rates of the random faults in a simulated world.
 
 use std::time::Duration;
 
-/// Faults for every step, each in percent, and their longest durations.
+/// Probabilities of random faults, in percent, and the maximum duration of the faults that last.
+/// Message faults are drawn for each message, all others once for each step of the world.
 #[derive(Debug, Clone, Copy)]
 pub struct Chaos {
-    /// A node is paused.
+    /// A node is paused, as by a frozen process.
     pub pause: u32,
-    /// A node is replaced by an empty one.
+    /// A node is replaced by a new one without state.
     pub replace: u32,
-    /// A data centre loses the platform.
+    /// A data centre is cut off from the platform.
     pub platform_cut: u32,
-    /// Two data centres lose each other.
+    /// Two data centres are cut off from each other (a network partition).
     pub cut: u32,
     /// A message is lost.
     pub loss: u32,
-    /// A message arrives twice.
+    /// A message is delivered twice.
     pub duplicate: u32,
-    /// Longest pause or cut.
+    /// Maximum duration of a pause or cut.
     pub max_duration: Duration,
 }
 
@@ -33,7 +34,7 @@
         max_duration: Duration::ZERO,
     };
 
-    /// A bit of everything.
+    /// All kinds of faults at moderate rates.
     pub const MIXED: Self = Self {
         pause: 2,
         replace: 1,
--- a/crates/testkit/src/fake_log.rs
+++ b/crates/testkit/src/fake_log.rs
@@ -1,4 +1,4 @@
-//! One stream of the platform's log, without I/O.
+//! An in-memory fake of one stream of the platform's log.
 
 use std::collections::VecDeque;
 
@@ -6,55 +6,55 @@
 
 use crate::Rng;
 
-/// How often appends go wrong, each in percent.
+/// Probabilities of faults in appends, in percent.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LogFaults {
-    /// The append takes effect and its answer is lost.
+    /// The append takes effect, but its reply is lost.
     pub lost_replies: u32,
-    /// The append takes no effect and its answer is lost.
+    /// The append takes no effect, and its reply is lost.
     pub dropped_appends: u32,
-    /// The append takes effect twice, as when something on the way sends it again.
+    /// The append takes effect twice, as after a retry by an intermediary.
     pub duplicated_appends: u32,
 }
 
-/// Why a call to the fake log has no result.
+/// Why a call to the fake log failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FakeLogError {
-    /// It took no effect.
+    /// The log is unavailable; the call took no effect.
     Unavailable,
-    /// It may have taken effect.
+    /// The reply was lost; the call may have taken effect.
     Unknown,
-    /// Records below this offset are gone.
+    /// Records below this offset have been trimmed.
     Trimmed(Offset),
 }
 
-/// Records read, without a gap.
+/// Consecutive records read from the log.
 #[derive(Debug, Clone)]
 pub struct FakeBatch<R> {
-    /// Offset of the first of `records`.
+    /// Offset of the first record in `records`.
     pub start: Offset,
-    /// The oldest offset still kept.
+    /// Offset of the oldest record retained.
     pub first: Offset,
-    /// The offset of the next append.
+    /// Offset that the next append will get.
     pub head: Offset,
-    /// What was read; empty if there is nothing new.
+    /// The records; empty if none exist from `start` on.
     pub records: Vec<R>,
 }
 
-/// An append-only stream whose faults are drawn from a seed.
+/// An append-only stream with random faults drawn from a seed.
 #[derive(Debug, Clone)]
 pub struct FakeLog<R> {
     records: VecDeque<R>,
     first: Offset,
     rng: Rng,
-    /// What goes wrong with appends.
+    /// Probabilities of faults in appends.
     pub faults: LogFaults,
-    /// Every call is refused without effect.
+    /// Whether every call fails with [`FakeLogError::Unavailable`].
     pub unavailable: bool,
 }
 
 impl<R: Clone> FakeLog<R> {
-    /// An empty stream without faults.
+    /// Creates an empty stream without faults.
     pub fn new(seed: u64) -> Self {
         Self {
             records: VecDeque::new(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Appends `records` next to each other; the offset of the first.
+    /// Appends `records` consecutively and returns the offset of the first one.
     pub fn append(&mut self, records: &[R]) -> Result<Offset, FakeLogError> {
         if self.unavailable {
             return Err(FakeLogError::Unavailable);
@@ -84,7 +84,7 @@
         Ok(offset)
     }
 
-    /// Up to `max` records from `from` on.
+    /// Reads up to `max` records from offset `from` on.
     pub fn read(&self, from: Offset, max: usize) -> Result<FakeBatch<R>, FakeLogError> {
         if self.unavailable {
             return Err(FakeLogError::Unavailable);
@@ -101,19 +101,19 @@
         })
     }
 
-    /// Drops the oldest records but the last `kept`, as time would.
+    /// Trims all but the newest `kept` records, as the platform does after its retention period.
     pub fn trim(&mut self, kept: usize) {
         let surplus = self.records.len().saturating_sub(kept);
         self.records.drain(..surplus);
         self.first = Offset::new(self.first.get() + surplus as u64);
     }
 
-    /// The oldest offset still kept.
+    /// Offset of the oldest record retained.
     pub fn first(&self) -> Offset {
         self.first
     }
 
-    /// The offset of the next append.
+    /// Offset that the next append will get.
     pub fn head(&self) -> Offset {
         Offset::new(self.first.get() + self.records.len() as u64)
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,9 @@
-//! Property tests that give the same verdict every time. Test support only.
+//! Deterministic property tests: the same seed always gives the same result. Test support only.
 //!
-//! [`check`] runs a property on inputs drawn from a seed. [`World`] steps several nodes
-//! against fakes whose faults are drawn from a seed as well. A property takes the seed as
-//! its input, builds a world from it, injects faults, heals and asserts.
+//! [`check`] runs a property on inputs generated from a seed. [`World`] simulates several nodes
+//! with fakes of their platform; its faults are drawn from a seed as well. A typical property takes
+//! a seed as its input, builds a world from it, injects faults, heals the world and checks its
+//! state.
 
 mod chaos;
 mod check;
--- a/crates/testkit/src/node.rs
+++ b/crates/testkit/src/node.rs
@@ -1,17 +1,18 @@
-//! What a test drives as one node.
+//! Interface of a simulated node.
 
 use cactuswheel_model::Time;
 
-/// A node's state machine together with the glue that its daemon would give it.
+/// A node's state machine together with the code that connects it to the platform and to other
+/// nodes, which its daemon provides in production.
 pub trait Node {
-    /// What nodes share outside themselves, usually one or two [`crate::FakeLog`]s.
+    /// State that nodes share through the platform, usually one or two [`crate::FakeLog`]s.
     type Platform;
-    /// What nodes send to each other.
+    /// A message between nodes.
     type Message: Clone;
 
-    /// Does what is due at `now`.
+    /// Performs the work due at `now`.
     ///
-    /// `platform` is none while the node's data centre is cut off from it.
+    /// `platform` is `None` while the node's data centre is cut off from the platform.
     fn step(
         &mut self,
         now: Time,
@@ -19,7 +20,7 @@
         outbox: &mut Outbox<Self::Message>,
     );
 
-    /// Takes a message from the node with number `from`.
+    /// Handles a message from the node with index `from`.
     fn receive(
         &mut self,
         now: Time,
@@ -29,14 +30,14 @@
     );
 }
 
-/// Messages that a node sends.
+/// Messages that a node sends during one step.
 #[derive(Debug)]
 pub struct Outbox<M> {
     pub(crate) sent: Vec<(usize, M)>,
 }
 
 impl<M> Outbox<M> {
-    /// Sends `message` to the node with number `to`.
+    /// Sends `message` to the node with index `to`.
     pub fn send(&mut self, to: usize, message: M) {
         self.sent.push((to, message));
     }
--- a/crates/testkit/src/seed.rs
+++ b/crates/testkit/src/seed.rs
@@ -1,13 +1,13 @@
-//! Seeds of histories.
+//! Seeds as inputs of properties.
 
 use quickcheck::{Arbitrary, Gen};
 
-/// The seed of a generated history, as input of a property.
+/// The seed of a simulated history, as the input of a property.
 ///
-/// A smaller seed is not a smaller history, so a failure is reported as it is found.
+/// A smaller seed does not give a shorter history, so failing seeds are not shrunk.
 #[derive(Debug, Clone, Copy)]
 pub struct Seed(
-    /// Invariant: below a million, to be typed in again.
+    /// The seed; generated ones are below a million, so that they are easy to type in again.
     pub u64,
 );
 
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -1,4 +1,4 @@
-//! Several nodes, one platform, a made-up clock.
+//! Simulation of several nodes, one platform and a clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,31 +7,38 @@
 
 use crate::{Chaos, Node, Outbox, Rng};
 
-/// Longest time that a message travels; later ones may overtake earlier ones.
+/// Maximum latency of a message. Each message gets a random latency, so messages may be reordered.
 const MAX_LATENCY: Duration = Duration::from_millis(300);
 
-/// Longest time between two steps.
+/// Maximum simulated time between two steps.
 const MAX_STEP: Duration = Duration::from_millis(500);
 
-/// Steps nodes in an order, and with faults, drawn from a seed.
+/// Simulates nodes. The order of their steps and the faults are drawn from a seed.
 pub struct World<N: Node> {
-    /// The nodes by number.
+    /// The nodes; other methods refer to them by index.
     pub nodes: Vec<N>,
-    /// What they share; out of reach for nodes whose data centre is cut off from it.
+    /// The platform that the nodes share; nodes in a data centre that is cut off cannot reach it.
     pub platform: N::Platform,
-    /// Faults drawn at each step.
+    /// Probabilities of random faults.
     pub chaos: Chaos,
-    /// More choices for the test.
+    /// The random number generator of the simulation; the test may draw from it too.
     pub rng: Rng,
     now: Time,
+    /// The data centre of each node.
     dcs: Vec<usize>,
+    /// When the pause of each node ends.
     paused_until: Vec<Time>,
+    /// When the cut between a data centre and the platform ends.
     platform_cuts: BTreeMap<usize, Time>,
+    /// When the cut between two data centres ends; the key has the smaller number first.
     cuts: BTreeMap<(usize, usize), Time>,
+    /// Messages in flight.
     envelopes: Vec<Envelope<N::Message>>,
+    /// Creates a node without state, by index.
     new_node: Box<dyn FnMut(usize) -> N>,
 }
 
+/// A message in flight.
 struct Envelope<M> {
     due: Time,
     from: usize,
@@ -40,7 +47,7 @@
 }
 
 impl<N: Node> World<N> {
-    /// Nodes made by `new_node`, one for each entry of `dcs`, which names its data centre.
+    /// Creates one node with `new_node` for each entry of `dcs`, which is the node's data centre.
     pub fn new(
         seed: u64,
         dcs: &[usize],
@@ -62,17 +69,17 @@
         }
     }
 
-    /// The time now.
+    /// The current simulated time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Stops a node for `time`; what is sent to it waits, as in a frozen process.
+    /// Pauses a node for `time`, like a frozen process: messages to it wait until it resumes.
     pub fn pause(&mut self, node: usize, time: Duration) {
         self.paused_until[node] = self.now.after(time);
     }
 
-    /// Puts an empty node in the place of one; what was under way to it is lost.
+    /// Replaces a node by a new one without state; messages in flight to it are lost.
     pub fn replace(&mut self, node: usize) {
         self.nodes[node] = (self.new_node)(node);
         self.paused_until[node] = Time::default();
@@ -89,7 +96,7 @@
         self.cuts.insert((a.min(b), a.max(b)), self.now.after(time));
     }
 
-    /// Ends all pauses and cuts and draws no more faults.
+    /// Ends all pauses and cuts, and injects no more random faults.
     pub fn heal(&mut self) {
         self.chaos = Chaos::NONE;
         self.paused_until.fill(Time::default());
@@ -97,7 +104,7 @@
         self.cuts.clear();
     }
 
-    /// Steps until `time` has passed.
+    /// Performs steps until `time` of the simulation has passed.
     pub fn run(&mut self, time: Duration) {
         let until = self.now.after(time);
         while self.now < until {
@@ -105,7 +112,7 @@
         }
     }
 
-    /// Draws faults, moves the clock, then lets every node that runs do what is due.
+    /// Injects random faults, advances the clock, then steps every node that is not paused.
     pub fn step(&mut self) {
         self.draw_faults();
         let millis = 1 + self.rng.below(MAX_STEP.as_millis() as u64);
@@ -121,7 +128,7 @@
 
     fn step_node(&mut self, n: usize) {
         let mut outbox = Outbox::default();
-        // Stable order of arrival: by due time, then by the order of sending.
+        // Messages arrive by due time, then in the order of sending: the sort is stable.
         let now = self.now;
         let (mut due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.envelopes)
             .into_iter()
--- a/crates/wire/src/answers.rs
+++ b/crates/wire/src/answers.rs
@@ -1,4 +1,4 @@
-//! What an entry answers to its peers.
+//! The server side of the calls between entries.
 
 use std::time::Duration;
 
@@ -17,21 +17,23 @@
 use crate::peer::Peer;
 use crate::{Beat, Chunk, Tail, decode, encode};
 
-/// Pause after a failed `accept`, so that running out of descriptors does not spin a core.
+/// Pause after a failed `accept`. Without it, the loop would keep a core busy while the process is
+/// out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers of an entry; each is quick and waits for nothing.
+/// Answers the calls of an entry's peers. The methods must return quickly and must not block.
 pub trait PeerHandler: Clone + Send + Sync + 'static {
-    /// Takes a peer's beat and gives this entry's.
+    /// Processes a peer's heartbeat and returns this entry's heartbeat.
     fn beat(&self, beat: Beat) -> Beat;
-    /// Up to `max` records from `from` on; none if they are not held.
+    /// Returns up to `max` records from offset `from` on; an empty list if this entry does not hold
+    /// them.
     fn records(&self, from: Offset, max: u32) -> Tail;
-    /// Up to `max` bytes of the snapshot as of `head`, from `start` on; of the newest one if
-    /// `head` is 0. None if there is no such snapshot.
+    /// Returns up to `max` bytes, from byte `start` on, of the snapshot of all records below offset
+    /// `head`, or of the newest snapshot if `head` is 0; `None` if this entry has no such snapshot.
     fn snapshot(&self, head: Offset, start: u64, max: u32) -> Option<Chunk>;
 }
 
-/// Answers peers on `listener` until the task is dropped.
+/// Accepts peers' connections on `listener` and answers their calls until the task is dropped.
 pub async fn serve<H: PeerHandler>(listener: TcpListener, handler: H) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -48,8 +50,8 @@
         .max_frame_length(MAX_FRAME)
         .new_framed(stream);
     let channel = BaseChannel::with_defaults(new(framed, Bincode::default()));
-    // One call after the other: an answer takes no time, and a peer cannot make this entry
-    // hold many large answers at once.
+    // Calls of a connection are answered one after another: handlers return quickly, and a peer
+    // cannot make this entry hold many large responses in memory at once.
     channel
         .execute(server.serve())
         .for_each(|answer| answer)
@@ -63,7 +65,7 @@
     async fn beat(self, _: Context, beat: Bytes) -> Bytes {
         match decode(&beat) {
             Ok(beat) => encode(&self.0.beat(beat)).unwrap_or_default(),
-            // No message is empty, so the peer sees an error.
+            // No valid message is empty, so the peer gets a decoding error.
             Err(_) => Bytes::new(),
         }
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Thrift's compact encoding, bounded.
+//! Thrift's compact encoding, with size limits.
 
 use bytes::Bytes;
 use thrift::TConfiguration;
@@ -6,7 +6,7 @@
 
 use crate::WireError;
 
-/// Deepest nesting of a message.
+/// Maximum nesting depth of a message.
 const MAX_DEPTH: usize = 16;
 
 /// Encodes a message.
@@ -18,9 +18,9 @@
 
 /// Decodes a message.
 ///
-/// Failure: a damaged or hostile message declares a list of billions, and the generated code
-/// reserves memory for it at once. No list or string can be longer than the bytes that came,
-/// so that is the bound.
+/// Without a limit, a damaged or malicious message could declare a list of billions of elements,
+/// and the generated code reserves memory for all of them up front. No valid list or string is
+/// longer than the received bytes, so their number is the limit.
 pub fn decode<T: TSerializable>(bytes: &[u8]) -> Result<T, WireError> {
     let max_size = bytes.len().max(1);
     let config = TConfiguration::builder()
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,18 +1,18 @@
-//! Failures between entries.
+//! Errors of calls between entries.
 
-/// Why a peer gave no answer.
+/// Why a call to a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// A message cannot be encoded or decoded.
     #[error("message: {0}")]
     Message(#[from] thrift::Error),
-    /// No connection.
+    /// The connection could not be opened.
     #[error("connection: {0}")]
     Connect(#[from] std::io::Error),
-    /// No connection in time.
+    /// Opening the connection timed out.
     #[error("connection timed out")]
     Timeout,
-    /// The call failed.
+    /// The call failed or timed out after the connection was open.
     #[error("call: {0}")]
     Call(#[from] tarpc::client::RpcError),
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! What entries say to each other: Thrift messages carried by tarpc calls.
+//! Communication between entries: Thrift messages in tarpc calls.
 //!
-//! Messages and plumbing only. Who talks to whom, how often and what follows from it is
-//! decided elsewhere; what the libraries offer for membership or discovery stays unused.
+//! This crate only has the messages, their encoding, and the client and server. The daemon decides
+//! which entries call each other, how often, and what to do with the results. Features of the
+//! libraries for membership or discovery are not used.
 
 mod answers;
 mod codec;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! A connection to a peer.
+//! The client side of the calls between entries.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,23 +13,23 @@
 use crate::peer::PeerClient;
 use crate::{Beat, Chunk, Tail, WireError, decode, encode};
 
-/// Largest frame, in bytes; a longer one ends the connection.
+/// Largest frame, in bytes; a larger one closes the connection.
 pub(crate) const MAX_FRAME: usize = 1 << 20;
 
-/// Time for a connection to a peer.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for a call.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls one peer; copies share the connection.
+/// A connection to one peer. Clones share it.
 #[derive(Debug, Clone)]
 pub struct Link {
     client: PeerClient,
 }
 
 impl Link {
-    /// Connects to a peer.
+    /// Connects to the peer at an address.
     pub async fn connect(peer: SocketAddr) -> Result<Self, WireError> {
         let mut connect = tcp::connect(peer, Bincode::default);
         connect.config_mut().max_frame_length(MAX_FRAME);
@@ -41,18 +41,19 @@
         })
     }
 
-    /// Gives this entry's beat and takes the peer's.
+    /// Sends this entry's heartbeat and returns the peer's.
     pub async fn beat(&self, beat: &Beat) -> Result<Beat, WireError> {
         decode(&self.client.beat(context(), encode(beat)?).await?)
     }
 
-    /// Up to `max` records from `from` on.
+    /// Fetches up to `max` records from offset `from` on; an empty list if the peer does not hold
+    /// them.
     pub async fn records(&self, from: Offset, max: u32) -> Result<Tail, WireError> {
         decode(&self.client.records(context(), from.get(), max).await?)
     }
 
-    /// Up to `max` bytes of the snapshot as of `head`, from `start` on; of the newest one if
-    /// `head` is 0.
+    /// Fetches up to `max` bytes, from byte `start` on, of the snapshot of all records below offset
+    /// `head`, or of the newest snapshot if `head` is 0. Fails if the peer has no such snapshot.
     pub async fn snapshot(&self, head: Offset, start: u64, max: u32) -> Result<Chunk, WireError> {
         decode(
             &self
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-/// Calls between entries, as [`crate::PeerHandler`] tells them.
+/// Calls between entries; [`crate::PeerHandler`] documents them.
 #[tarpc::service]
 pub(crate) trait Peer {
     async fn beat(beat: Bytes) -> Bytes;
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Messages survive the wire, damaged ones are errors.
+//! Messages are unchanged after encoding and decoding, and damaged messages cannot cause a panic or
+//! a huge allocation.
 
 use cactuswheel_testkit::check;
 use quickcheck::Arbitrary;
@@ -47,7 +48,8 @@
 
 #[test]
 fn beat_size() {
-    // Beats go out each second over each link; their size is most of what peers cost.
+    // Heartbeats are sent once a second over each link. Their size accounts for most of the traffic
+    // between entries.
     let mut beat = Beat {
         entry: "entry-kathmandu-117".into(),
         dc: "kathmandu-3".into(),
@@ -72,14 +74,15 @@
 
 #[test]
 fn huge_list() {
-    // Field 1 is an i64; field 2 declares a list of 2^31 - 1 strings that never come.
+    // Field 1 is an i64; field 2 declares a list of 2^31 - 1 strings that do not follow.
     let bytes = [0x16, 0x00, 0x19, 0xf8, 0xff, 0xff, 0xff, 0xff, 0x07];
     assert!(decode::<Tail>(&bytes).is_err());
 }
 
 #[test]
 fn damaged_byte() {
-    // A changed byte gives an error or another message, never a panic or a huge allocation.
+    // A message with a changed byte gives an error or decodes to another message, without a panic
+    // or a huge allocation.
     let whole = encode(&tail(9, vec!["a".into(), "bc".into()])).unwrap();
     check(2, 2_000, damage_byte(whole.to_vec()));
 }
