--- a/crates/cell/src/hand_in.rs
+++ b/crates/cell/src/hand_in.rs
@@ -65,14 +65,14 @@
                 false => HandIn::Journaling,
             };
         }
-        if self.flying.is_some() {
+        if self.in_flight.is_some() {
             return HandIn::Busy;
         }
         self.submit(now, sub, Duration::ZERO);
         if let Some(job) = self.jobs.get_mut_untracked(&id) {
             job.in_intake = false;
         }
-        self.handed.insert(id, record);
+        self.encoded_submissions.insert(id, record);
         self.dirty.insert(id);
         HandIn::Journaling
     }
--- a/crates/cell/src/loads.rs
+++ b/crates/cell/src/loads.rs
@@ -1,4 +1,4 @@
-//! What the cell tells those who decide about instances.
+//! Views of the cell for capacity planning and for operators.
 
 use cactuswheel_model::Map;
 use cactuswheel_work::{JobId, JobState, QueueName, Room, ServiceName, Step, TeamName, WorkerId};
@@ -9,13 +9,13 @@
 use crate::view::{JobView, Load, RunView, WorkerView};
 
 impl Cell {
-    /// What each service has to do.
+    /// Load of each service.
     pub fn loads(&self) -> Map<ServiceName, Load> {
         let mut loads: Map<ServiceName, Load> = Map::default();
         for queue in self.config.queues.values() {
             loads.entry(queue.service.clone()).or_default().queues += 1;
         }
-        for (name, learned) in &self.learned {
+        for (name, learned) in &self.queue_stats {
             let Some(queue) = self.config.queues.get(name) else {
                 continue;
             };
@@ -35,7 +35,8 @@
         loads
     }
 
-    /// Adds what a job's tasks ask for, as far as its team's limit lets them start.
+    /// Adds the room that a job's waiting tasks request, as far as the team's quota lets them
+    /// start.
     fn add_waiting(&self, job: &Job, load: &mut Load, left: &mut Map<TeamName, Room>) {
         if !job.sub.lasting() {
             return self.add_forecast(job, load, left);
@@ -46,15 +47,15 @@
                     continue;
                 }
                 load.lasting += step.reserved() * u64::from(step.count);
-                load.spread = load.spread.max(spread(step));
-                let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
+                load.spread = load.spread.max(min_workers(step));
+                let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
                 let free = self.startable(job, step, free, left);
                 load.waiting += step.reserved() * free;
             }
         }
     }
 
-    /// How many of a step's `free` tasks the team's limit lets start.
+    /// How many of a step's `free` tasks the team's quota lets start.
     pub(crate) fn startable(
         &self,
         job: &Job,
@@ -79,7 +80,7 @@
         tasks
     }
 
-    /// The workers that are known.
+    /// Views of the registered workers.
     pub fn workers(&self) -> Map<WorkerId, WorkerView> {
         let listed = self.workers.values();
         let listed = listed.filter_map(|w| Some((w, w.entry.as_ref()?)));
@@ -87,21 +88,21 @@
             let view = WorkerView {
                 worker: w.id.clone(),
                 service: entry.service.clone(),
-                open: w.is_open(self.now) || w.is_full(self.now),
-                closing: (w.closing || w.is_spent() || w.evacuated) && w.answers(),
+                open: w.is_schedulable(self.now) || w.is_full(self.now),
+                closing: (w.closed || w.is_spent() || w.evacuated) && w.is_responsive(),
                 evacuated: w.evacuated,
                 spent: w.is_spent(),
                 room: entry.room,
                 used: w.used,
                 lasting: w.lasting,
-                runs: w.held.len(),
+                runs: w.allocations.len(),
             };
             (w.id.clone(), view)
         });
         views.collect()
     }
 
-    /// A job, for operators; `None` if there is no such job.
+    /// View of a job for operators; `None` if the job is unknown.
     pub fn job(&self, id: JobId) -> Option<JobView> {
         if let Some(kept) = self.finished.get(&id) {
             return Some(self.finished_view(kept));
@@ -121,25 +122,25 @@
             state: job.reported_state(),
             age: self.now.since(job.arrived),
             done: tasks.iter().filter(|t| t.done).count(),
-            waiting: tasks.iter().filter(|t| t.is_free()).count(),
+            waiting: tasks.iter().filter(|t| t.is_pending()).count(),
             runs: runs.collect(),
         })
     }
 
-    fn finished_view(&self, kept: &FinishedJob) -> JobView {
+    fn finished_view(&self, finished: &FinishedJob) -> JobView {
         JobView {
-            queue: kept.job.queue.clone(),
-            state: kept.job.state,
-            age: self.now.since(kept.ended),
+            queue: finished.job.queue.clone(),
+            state: finished.job.state,
+            age: self.now.since(finished.ended),
             done: 0,
             waiting: 0,
             runs: Vec::new(),
         }
     }
 
-    /// Jobs that are in no final state, by queue: all of them, and those of which no task has
-    /// started.
-    pub fn queues(&self) -> Map<QueueName, (u64, u64)> {
+    /// Number of jobs per queue that are not in a final state, and how many of these have not
+    /// started a task.
+    pub fn queue_lengths(&self) -> Map<QueueName, (u64, u64)> {
         let mut found: Map<QueueName, (u64, u64)> = Map::default();
         for job in self.open.iter().filter_map(|id| self.jobs.get(id)) {
             let count = found.entry(job.sub.queue.clone()).or_default();
@@ -150,8 +151,8 @@
     }
 }
 
-/// Workers that a lasting step has to be spread over.
-fn spread(step: &Step) -> usize {
+/// Minimum number of workers over which a long-running step has to be spread.
+fn min_workers(step: &Step) -> usize {
     match step.spread {
         0 => 1,
         most => step.count.div_ceil(most) as usize,
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -100,7 +100,7 @@
     let affinity = constraints.affinity;
     let rack = affinity.and_then(|a| Some(Scope::Rack(&a.zone, a.rack.as_deref()?)));
     let scopes = [
-        near.map(Scope::Named),
+        near.map(Scope::RackName),
         rack,
         affinity.map(|a| Scope::Zone(&a.zone)),
         Some(Scope::All),
@@ -125,7 +125,7 @@
     wanted: &impl Fn(&Worker) -> bool,
 ) -> Option<&'a Worker> {
     let need = constraints.step.reserved().cpu;
-    let worker = |number| workers.at(number).filter(|w| wanted(w));
+    let worker = |number| workers.by_number(number).filter(|w| wanted(w));
     match constraints.pack {
         true => free_index.fullest(scope, need).find_map(worker),
         false => free_index.emptiest(scope, need).find_map(worker),
@@ -140,7 +140,7 @@
     now: Time,
 ) -> Option<&'a Worker> {
     let roomy = free_index.fullest(Scope::All, constraints.step.reserved().cpu);
-    let fitting = roomy.filter_map(|n| workers.at(n));
+    let fitting = roomy.filter_map(|n| workers.by_number(n));
     let fitting = fitting.filter(|w| fits(w, constraints, now));
     fitting.min_by_key(|w| cost(w, constraints))
 }
@@ -160,9 +160,9 @@
         step.spread == 0 || per_worker < step.spread
     };
     step.reserved().fits(w.free())
-        && w.is_open(now)
+        && w.is_schedulable(now)
         && (constraints.suspect || !w.is_reserved(now))
-        && (!w.health.is_on_trial() || w.held.is_empty())
+        && (!w.health.is_recovering() || w.allocations.is_empty())
         && step.label.as_ref().is_none_or(has_label)
         && spread_ok()
         && constraints.allowed.is_none_or(|a| a.contains(&w.id))
--- a/crates/cell/src/schedule.rs
+++ b/crates/cell/src/schedule.rs
@@ -17,7 +17,7 @@
 use crate::rank::{Rank, rank};
 use crate::run_state::StepRun;
 use crate::wait_queue::QueuedJob;
-use crate::worker::Held;
+use crate::worker::Allocation;
 
 /// Number of tasks without a worker after which a cycle skips the rest of a service's queue: the
 /// jobs further back seldom fit either.
@@ -59,7 +59,7 @@
 impl Cell {
     /// Assigns pending tasks to workers, jobs with the best rank first.
     pub(crate) fn schedule(&mut self) {
-        self.settle();
+        self.update_indexes();
         for service in self.wait_queue.services() {
             if self.workers.free_index(&service).is_some() {
                 self.schedule_service(&service);
@@ -83,7 +83,7 @@
     /// The current rank of a job, and the time until which that rank is valid.
     pub(crate) fn rank(&self, job: &Job) -> (Rank, Time) {
         let queue = self.config.queues.get(&job.sub.queue);
-        let learned = self.learned.get(&job.sub.queue);
+        let learned = self.queue_stats.get(&job.sub.queue);
         let factor = learned.map_or(1.0, QueueStats::slowdown);
         let (rank, until) = rank(job, queue, factor, self.now);
         match self.policy.begun {
@@ -146,7 +146,8 @@
         let choices = self.pick_workers(&pending, step, service, allowed.as_deref(), misses);
         if step.gang && choices.len() < step.count as usize {
             for choice in &choices {
-                self.workers.let_go(&choice.worker, choice.task, choice.run);
+                self.workers
+                    .cancel_allocation(&choice.worker, choice.task, choice.run);
             }
             return;
         }
@@ -216,7 +217,7 @@
                 rack: chosen.rack.as_deref(),
                 affinity: chosen.affinity.as_ref().filter(|_| self.policy.home),
                 allowed,
-                maintenance: &self.due,
+                maintenance: &self.maintenance_due,
                 pack: self.policy.pack,
             };
             let worker = match self.place(service, &constraints) {
@@ -237,7 +238,7 @@
             }
             let choice = Choice::new(pending.id, index, &run.tasks[index], worker);
             self.workers
-                .hold(&choice.worker, choice.task, held(choice.run, step));
+                .allocate(&choice.worker, choice.task, held(choice.run, step));
             let place = self.workers.get(&choice.worker);
             chosen.add(choice, step, place.and_then(|w| w.entry.as_ref()));
         }
@@ -315,7 +316,7 @@
             return;
         };
         state.run = run;
-        let given_up = std::mem::take(&mut state.given_up);
+        let given_up = std::mem::take(&mut state.abandoned);
         let suspect = state.is_suspect() && !step.gang;
         let mut attempt = Attempt::new(worker.clone(), place.born, run, Phase::Planned, now);
         attempt.fence = place.fence;
@@ -333,8 +334,8 @@
 }
 
 /// What a run of a step takes up on its worker.
-pub(crate) fn held(run: u32, step: &Step) -> Held {
-    Held {
+pub(crate) fn held(run: u32, step: &Step) -> Allocation {
+    Allocation {
         run,
         room: step.reserved(),
         lasting: step.lasting,
@@ -347,7 +348,7 @@
     job.turns.iter().any(|turn| {
         let steps = turn.steps.iter().zip(job.sub.steps.iter());
         let mut open = steps.filter(|(run, step)| !run.is_done() && turn.is_ready(step));
-        open.any(|(run, _)| run.tasks.iter().any(|t| t.is_free()))
+        open.any(|(run, _)| run.tasks.iter().any(|t| t.is_pending()))
     })
 }
 
@@ -361,14 +362,14 @@
     let steps = steps.flat_map(|turn| turn.steps.iter().zip(job.sub.steps.iter()));
     let steps = steps.filter(|(_, step)| step.reserved().fits(largest_worker));
     steps.fold((0, 0), |(tasks, work), (run, step)| {
-        let free = run.tasks.iter().filter(|t| t.is_free()).count() as u64;
+        let free = run.tasks.iter().filter(|t| t.is_pending()).count() as u64;
         let each = step.room.cpu * step.estimate.get();
         (tasks + free, work + free * each)
     })
 }
 
 fn free_tasks(run: &StepRun, step: &Step) -> Vec<usize> {
-    let free = run.tasks.iter().enumerate().filter(|(_, t)| t.is_free());
+    let free = run.tasks.iter().enumerate().filter(|(_, t)| t.is_pending());
     let free: Vec<usize> = free.map(|(i, _)| i).collect();
     match step.gang && free.len() < run.tasks.len() {
         // A gang starts as a whole, so all attempts of its previous run have to be over.
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -143,12 +143,12 @@
         match output {
             Output::Append(batch) => self.append(batch),
             Output::DropSubmissions(jobs) => self.drop_submissions(jobs),
-            Output::Look {
+            Output::PollWorker {
                 worker,
                 addr,
-                look,
+                poll_number,
                 order,
-            } => self.send_order(worker, addr, Order::Poll(look, order)),
+            } => self.send_order(worker, addr, Order::Poll(poll_number, order)),
             Output::Start {
                 worker,
                 addr,
@@ -164,7 +164,7 @@
                 addr,
                 order,
             } => self.send_order(worker, addr, Order::Pace(order)),
-            Output::Ask { step, workers } => self.ask_advice(step, workers),
+            Output::RequestAdvice { step, workers } => self.ask_advice(step, workers),
             // The owner handles these itself.
             Output::Deposed { .. } | Output::Accepted(_) => {}
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -244,7 +244,7 @@
             Action::Order { order, worker } => {
                 // No run may start on the worker between now and the order's arrival.
                 if let Some(worker) = &worker {
-                    cell.send_away(worker);
+                    cell.begin_removal(worker);
                 }
                 // Each order has its own token, so that an earlier order that arrives late is
                 // fenced off by a later one and cannot move the instance back.
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use cactuswheel_capacity::LastOwner;
-use cactuswheel_cell::{Cell, Known, Output, Reads};
+use cactuswheel_cell::{Cell, Coverage, IntakeProgress, Output};
 use cactuswheel_model::Time;
 use cactuswheel_work::{InstanceOutcome, JobId, StartOutcome};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -117,7 +117,7 @@
         ),
         dispatcher: Dispatcher::new(shared.clone(), events.clone(), epoch),
         cell: takeover.cell,
-        reads: Reads::new(takeover.offsets),
+        reads: IntakeProgress::new(takeover.offsets),
         parked: Vec::new(),
         hand_ins: HandIns::new(shared.clone()),
         events: events.clone(),
@@ -155,7 +155,7 @@
     /// `None` if the settings name no instance service.
     fleet: Option<Fleet>,
     /// How far each intake partition has been read.
-    reads: Reads,
+    reads: IntakeProgress,
     parked: Vec<ParkedQuery>,
     hand_ins: HandIns,
     events: mpsc::Sender<Event>,
@@ -169,7 +169,7 @@
     async fn run(mut self, mut inbox: mpsc::Receiver<Event>) {
         loop {
             let now = self.shared.clock.now();
-            let sleep = self.cell.wake().since(now).min(MAX_SLEEP);
+            let sleep = self.cell.next_wake().since(now).min(MAX_SLEEP);
             let first = timeout(sleep, inbox.recv()).await;
             let woken = Instant::now();
             let mut deposed = false;
@@ -188,9 +188,9 @@
             if let Some(fleet) = &mut self.fleet {
                 fleet.plan(&mut self.cell);
             }
-            self.cell.confirmed(self.shared.ownership_age());
-            self.cell.link_is_full(self.dispatcher.is_link_full());
-            self.cell.name_specs(self.dispatcher.omits_specs());
+            self.cell.set_ownership_age(self.shared.ownership_age());
+            self.cell.set_link_full(self.dispatcher.is_link_full());
+            self.cell.omit_specs(self.dispatcher.omits_specs());
             let outputs = self
                 .cell
                 .poll(self.shared.clock.now(), self.shared.clock.wall());
@@ -221,11 +221,12 @@
     fn apply_operators(&mut self) {
         let now = self.shared.clock.now();
         if let Some(config) = self.shared.config.load().as_ref()
-            && config.version > self.cell.version()
+            && config.version > self.cell.config_version()
         {
             self.cell.configure(now, config.clone());
         }
-        self.cell.evacuate_zones(now, &self.shared.evacuated.load());
+        self.cell
+            .set_evacuated_zones(now, &self.shared.evacuated.load());
     }
 
     /// Handles an event. Returns true if it shows that a newer owner is active.
@@ -235,15 +236,15 @@
             Event::HandIn(handed) => self.hand_ins.take(&self.cell, handed),
             Event::Intake(read) => self.handle_intake(read),
             Event::IntakeReadDone(part) => {
-                self.reads.over(part);
+                self.reads.finish_read(part);
                 self.answer_parked();
             }
             Event::WorkerUpdated(entry) => {
                 self.dispatcher.add_worker(&entry);
-                self.cell.list(now, entry);
+                self.cell.register_worker(now, entry);
             }
             Event::WorkerRemoved(id) => {
-                self.cell.unlist(now, &id);
+                self.cell.unregister_worker(now, &id);
                 self.dispatcher.remove_worker(&id);
             }
             Event::RosterComplete => self.dispatcher.mark_complete(),
@@ -295,7 +296,7 @@
             Query::CellView(reply) => drop(reply.send(cell_view(&self.cell))),
             Query::JobView(id, reply) => drop(reply.send(job_view(&self.cell, id))),
             Query::Queue(name, reply) => {
-                let pending = self.cell.pending(&name);
+                let pending = self.cell.pending_jobs(&name);
                 drop(reply.send(QueueAnswer::Pending(pending)));
             }
         }
@@ -311,14 +312,14 @@
                     Err(_) => "failed",
                 };
                 self.shared.metrics.polled(outcome);
-                self.cell.looked(now, &id, number, answer);
+                self.cell.poll_answered(now, &id, number, answer);
             }
             // The dispatcher has already expanded the poll deltas of relays.
             Report::Delta(..) => {}
             Report::Started(id, task, run, outcome) => {
-                self.cell.started(now, &id, task, run, outcome);
+                self.cell.start_answered(now, &id, task, run, outcome);
             }
-            Report::Paced(id, order, outcome) => self.cell.paced(now, &id, &order, outcome),
+            Report::Paced(id, order, outcome) => self.cell.pace_answered(now, &id, &order, outcome),
         }
     }
 
@@ -342,7 +343,7 @@
                 apply_intake(&self.shared, &mut self.cell, now, &record.key, value);
             }
         }
-        self.reads.taken(read.part, read.next, read.complete_at);
+        self.reads.mark_read(read.part, read.next, read.complete_at);
         self.answer_parked();
     }
 
@@ -382,10 +383,10 @@
             return false;
         }
         let part = intake_part(id, self.shared.settings.parts);
-        match self.reads.ask(part, since) {
-            Known::Yes => true,
-            Known::Wait => false,
-            Known::ReadFrom(from) => {
+        match self.reads.check(part, since) {
+            Coverage::Complete => true,
+            Coverage::Wait => false,
+            Coverage::ReadFrom(from) => {
                 let (shared, events) = (self.shared.clone(), self.events.clone());
                 tokio::spawn(read_intake(shared, events, part, from));
                 false
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -113,7 +113,7 @@
     let policy = shared.settings.policies.work.clone();
     let mut cell = Cell::new(cell_bounds(shared), epoch, config).with_policy(policy);
     if !alone {
-        cell.expect_others();
+        cell.expect_previous_owner();
     }
     rebuild_cell(shared, &mut cell, &intake, &journal)?;
     log::info!(
@@ -168,7 +168,7 @@
             cell.cancel(now, id);
         }
     }
-    cell.restored();
+    cell.finish_restore();
     Ok(())
 }
 
@@ -312,10 +312,10 @@
     let times = &shared.settings.times;
     Bounds {
         lease: times.lease.min(MAX_LEASE),
-        kept: times.retention,
-        pace: times.pace,
-        stop: times.stop,
-        batch: shared
+        retention: times.retention,
+        pace_delay: times.pace,
+        stop_time: times.stop,
+        max_batch: shared
             .settings
             .link
             .bytes_in(MAX_BATCH_TIME)
