--- a/crates/testkit/src/chaos.rs
+++ b/crates/testkit/src/chaos.rs
@@ -6,7 +6,7 @@
 /// Message faults are drawn for each message, all others once for each step of the world.
 #[derive(Debug, Clone, Copy)]
 pub struct Chaos {
-    /// A node is paused, as by a frozen process.
+    /// A node is paused, like a frozen process.
     pub pause: u32,
     /// A node is replaced by a new one without state.
     pub replace: u32,
