--- a/crates/http/src/call.rs
+++ b/crates/http/src/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call with a time limit.
+//! One HTTP call with a timeout.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,32 +15,33 @@
 use tokio::time::timeout;
 
 use crate::Meter;
-use crate::meter::Metered;
+use crate::meter::MeteredStream;
 
-/// Largest answer that a call takes, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// Largest response body that a call accepts, in bytes.
+const MAX_BODY: usize = 64 << 20;
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection, or the request was given back unsent: it did not take effect.
+    /// The connection failed or the request was not sent: the call took no effect.
     #[error("{0} cannot be reached: {1}")]
     NotSent(SocketAddr, String),
-    /// It was sent and no whole answer came back: it may have taken effect.
+    /// The request may have been sent, and no complete response arrived: the call may have taken
+    /// effect.
     #[error("{0} gave no answer: {1}")]
     Unknown(SocketAddr, String),
 }
 
-/// A status and a whole body.
+/// A complete response.
 #[derive(Debug)]
 pub struct Answer {
-    /// HTTP status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The body.
+    /// The whole response body.
     pub body: Bytes,
 }
 
-/// A call to be made.
+/// An HTTP request to one peer, built with the `with_` methods and sent with [`Call::send`].
 #[derive(Debug, Clone)]
 pub struct Call {
     peer: SocketAddr,
@@ -48,27 +49,27 @@
     path: String,
     key: Option<String>,
     body: Vec<u8>,
-    limit: Duration,
+    time_limit: Duration,
     meter: Option<Arc<Meter>>,
 }
 
 impl Answer {
-    /// Decodes the body.
+    /// Decodes the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
 }
 
 impl Call {
-    /// Time limit unless another is set.
-    const LIMIT: Duration = Duration::from_secs(5);
+    /// Timeout unless [`Call::with_timeout`] sets another.
+    const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
-    /// A `GET` of `path`.
+    /// Creates a `GET` request for `path`.
     pub fn get(peer: SocketAddr, path: impl Into<String>) -> Self {
         Self::new(peer, Method::GET, path)
     }
 
-    /// A `POST` to `path`.
+    /// Creates a `POST` request to `path`.
     pub fn post(peer: SocketAddr, path: impl Into<String>) -> Self {
         Self::new(peer, Method::POST, path)
     }
@@ -81,52 +82,53 @@
             path,
             key: None,
             body: Vec::new(),
-            limit: Self::LIMIT,
+            time_limit: Self::DEFAULT_TIMEOUT,
             meter: None,
         }
     }
 
-    /// Sends `key` as a bearer token.
+    /// Sets the bearer token of the request.
     pub fn with_key(mut self, key: impl Into<String>) -> Self {
         self.key = Some(key.into());
         self
     }
 
-    /// Sends `value` as JSON.
+    /// Sets the body of the request to `value`, encoded as JSON.
     pub fn with_json<T: Serialize>(mut self, value: &T) -> Result<Self, serde_json::Error> {
         self.body = serde_json::to_vec(value)?;
         Ok(self)
     }
 
-    /// Gives up after `limit`.
-    pub fn with_limit(mut self, limit: Duration) -> Self {
-        self.limit = limit;
+    /// Sets the timeout. It applies to connecting and then again to the exchange of request and
+    /// response, so a call takes up to twice as long.
+    pub fn with_timeout(mut self, limit: Duration) -> Self {
+        self.time_limit = limit;
         self
     }
 
-    /// Counts the call's bytes on `meter`.
+    /// Counts the bytes of the call in `meter`.
     pub fn with_meter(mut self, meter: Arc<Meter>) -> Self {
         self.meter = Some(meter);
         self
     }
 
-    /// Makes the call on a connection of its own.
+    /// Sends the request over a new connection and waits for the whole response.
     pub async fn send(self) -> Result<Answer, CallError> {
-        let (peer, limit) = (self.peer, self.limit);
+        let (peer, limit) = (self.peer, self.time_limit);
         let stream = match timeout(limit, TcpStream::connect(peer)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(CallError::NotSent(peer, e.to_string())),
             Err(_) => return Err(CallError::NotSent(peer, "connect timed out".into())),
         };
         match timeout(limit, self.exchange(stream)).await {
-            Ok(done) => done,
+            Ok(result) => result,
             Err(_) => Err(CallError::Unknown(peer, "timed out".into())),
         }
     }
 
     async fn exchange(self, stream: TcpStream) -> Result<Answer, CallError> {
         let peer = self.peer;
-        let stream = Metered::new(stream, self.meter.clone());
+        let stream = MeteredStream::new(stream, self.meter.clone());
         let request = self
             .request()
             .map_err(|e| CallError::NotSent(peer, e.to_string()))?;
@@ -141,13 +143,13 @@
                 .await
                 .map_err(|e| unknown(&e))?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER);
+            let body = Limited::new(answer.into_body(), MAX_BODY);
             let body = body.collect().await.map_err(|e| unknown(&e))?.to_bytes();
             Ok(Answer { status, body })
         };
-        let done = exchange.await;
+        let result = exchange.await;
         driver.abort();
-        done
+        result
     }
 
     fn request(self) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,17 +1,17 @@
-//! Answers of control servers.
+//! Responses of control servers.
 
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use serde::Serialize;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = Full<Bytes>;
 
-/// An answer.
+/// A response.
 pub type Reply = Response<Body>;
 
-/// Answers with JSON.
+/// A response with `value` as JSON; a response with status 500 if `value` cannot be encoded.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Reply {
     match serde_json::to_vec(value) {
         Ok(body) => reply(status, "application/json", body),
@@ -19,7 +19,7 @@
     }
 }
 
-/// Answers with plain text.
+/// A response in plain text.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Reply {
     reply(
         status,
@@ -28,12 +28,12 @@
     )
 }
 
-fn reply(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
+fn reply(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::from(body)));
     *reply.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static(kind);
+    let content_type = hyper::header::HeaderValue::from_static(content_type);
     reply
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
+        .insert(hyper::header::CONTENT_TYPE, content_type);
     reply
 }
--- a/crates/soak/src/soak.rs
+++ b/crates/soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! Random faults while callers hand jobs in.
+//! Injects random faults while callers submit jobs, then checks the results.
 
 use std::time::{Duration, Instant};
 
@@ -7,47 +7,52 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::{Accepted, Mode, World};
+use crate::{AcceptedJob, Mode, World};
 
-/// Callers at a time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 4;
 
-/// What a run showed.
+/// Result of one soak run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Jobs that were accepted.
+    /// Number of jobs accepted.
     pub jobs: usize,
-    /// What was done to the system, in order.
+    /// Injected faults in order, each with the time since the start of the run.
     pub faults: Vec<String>,
-    /// Promises that were broken.
-    pub broken: Vec<String>,
-    /// The nodes' logs, if one was.
+    /// Violated guarantees; empty if the run passed.
+    pub violations: Vec<String>,
+    /// Log lines of all nodes; empty if the run passed.
     pub logs: Vec<String>,
 }
 
-/// Runs callers for `time` under faults drawn from `seed`, heals, and judges.
+/// Runs callers for `time` under faults drawn from `seed`, ends all faults, and then checks that
+/// each accepted job completes and that no guarantee was violated.
 pub async fn soak(seed: u64, nodes: usize, time: Duration) -> Report {
     let mut world = World::start(nodes, seed).await;
     let mut rng = Rng::new(seed);
     let callers: Vec<_> = (0..CALLERS)
         .map(|number| {
             let caller = world.caller(number as usize);
-            tokio::spawn(call(caller, Rng::new(seed ^ (number + 1) << 32), time))
+            tokio::spawn(submit_jobs(
+                caller,
+                Rng::new(seed ^ (number + 1) << 32),
+                time,
+            ))
         })
         .collect();
     let mut report = Report::default();
     let start = Instant::now();
     while start.elapsed() < time {
         sleep(Duration::from_millis(200 + rng.below(900))).await;
-        let fault = disturb(&mut world, &mut rng);
+        let fault = inject_fault(&mut world, &mut rng);
         report.faults.push(format!("{:?} {fault}", start.elapsed()));
     }
     heal(&mut world);
-    let mut accepted: Vec<Accepted> = Vec::new();
+    let mut accepted: Vec<AcceptedJob> = Vec::new();
     for caller in callers {
         match caller.await {
             Ok(jobs) => accepted.extend(jobs),
-            Err(e) => report.broken.push(format!("a caller was not served: {e}")),
+            Err(e) => report.violations.push(format!("a caller task failed: {e}")),
         }
     }
     report.jobs = accepted.len();
@@ -55,19 +60,19 @@
     for job in &accepted {
         match caller.wait(job).await {
             Ok(state) if state == "complete" => {}
-            Ok(state) => report.broken.push(format!("{} is {state}", job.path)),
-            Err(e) => report.broken.push(e),
+            Ok(state) => report.violations.push(format!("{} is {state}", job.path)),
+            Err(e) => report.violations.push(e),
         }
     }
-    // Ends are acknowledged a moment after a job is shown as complete.
+    // The end of a run is acknowledged to its worker shortly after its job is reported as complete.
     sleep(Duration::from_secs(1)).await;
     report
-        .broken
+        .violations
         .extend(world.platform.ledger(|l| l.violations.clone()));
     for job in &accepted {
         let starts = world.platform.ledger(|l| l.start_count(&job.id));
         if (starts as usize) < job.tasks {
-            report.broken.push(format!(
+            report.violations.push(format!(
                 "{}: {starts} starts, {} tasks",
                 job.path, job.tasks
             ));
@@ -75,16 +80,19 @@
     }
     for node in &mut world.nodes {
         if node.has_failed() {
-            report.broken.push("a node ended by itself".to_owned());
+            report
+                .violations
+                .push("a node exited with an error".to_owned());
         }
     }
-    if !report.broken.is_empty() {
+    if !report.violations.is_empty() {
         report.logs = world.nodes.iter().flat_map(|n| n.lines()).collect();
     }
     report
 }
 
-async fn call(mut caller: crate::Caller, mut rng: Rng, time: Duration) -> Vec<Accepted> {
+/// Submits random jobs, one after another, until `time` has passed.
+async fn submit_jobs(mut caller: crate::Caller, mut rng: Rng, time: Duration) -> Vec<AcceptedJob> {
     let start = Instant::now();
     let mut accepted = Vec::new();
     while start.elapsed() < time {
@@ -97,40 +105,43 @@
             })
             .collect();
         let spec = format!("work_ms={}", 50 + rng.below(500));
-        let job = caller.submit(queue, rng.any(), &json!(steps), &spec).await;
+        let job = caller
+            .submit(queue, rng.next_u64(), &json!(steps), &spec)
+            .await;
         accepted.push(job);
         sleep(Duration::from_millis(rng.below(250))).await;
     }
     accepted
 }
 
-/// Does one thing to the system; gives what it was.
-fn disturb(world: &mut World, rng: &mut Rng) -> String {
-    let place = rng.below(world.nodes.len() as u64) as usize;
+/// Injects one random fault, or ends all faults; returns its description. Each call replaces the
+/// faults of the platform that the call before it has set.
+fn inject_fault(world: &mut World, rng: &mut Rng) -> String {
+    let index = rng.below(world.nodes.len() as u64) as usize;
     let mut faults = Faults::default();
     let fault = match rng.below(12) {
         0 => {
-            world.nodes[place].signal("KILL");
+            world.nodes[index].signal("KILL");
             "kill"
         }
         1 => {
-            world.nodes[place].signal("STOP");
+            world.nodes[index].signal("STOP");
             "stop"
         }
         2 => {
-            world.nodes[place].signal("TERM");
+            world.nodes[index].signal("TERM");
             "term"
         }
         3 => {
-            let modes = [Mode::Silent, Mode::OneWay, Mode::Reset, Mode::Delay];
-            world.proxies[place].set(*rng.pick(&modes));
+            let modes = [Mode::Stall, Mode::StallReplies, Mode::Reset, Mode::Delay];
+            world.proxies[index].set_mode(*rng.pick(&modes));
             "store's link"
         }
         4 | 5 => {
             let pause = Duration::from_millis(100 + rng.below(1_500));
             world
                 .platform
-                .crash(place + rng.below(5) as usize, pause, rng.chance(50));
+                .crash(index + rng.below(5) as usize, pause, rng.chance(50));
             "worker crash"
         }
         6 => {
@@ -150,7 +161,7 @@
             "compaction"
         }
         10 => {
-            world.configure();
+            world.publish_config();
             "configuration"
         }
         _ => {
@@ -159,24 +170,27 @@
         }
     };
     world.platform.set_faults(faults);
-    // Most faults end before the next but one, as they do at the customers'.
+    // Restores nodes after half of the faults, so that most faults end before the next but one is
+    // injected, as most faults at customers do.
     if rng.chance(50) {
-        revive(world);
+        restore_nodes(world);
     }
-    format!("{fault} at n{place}")
+    format!("{fault} at n{index}")
 }
 
-fn revive(world: &mut World) {
+/// Resumes stopped nodes, restarts nodes that have exited, and ends the faults of all proxies.
+fn restore_nodes(world: &mut World) {
     for node in &mut world.nodes {
         node.signal("CONT");
         node.start();
     }
     for proxy in &world.proxies {
-        proxy.set(Mode::Pass);
+        proxy.set_mode(Mode::Pass);
     }
 }
 
+/// Ends the faults of the platform, the nodes and the proxies.
 fn heal(world: &mut World) {
     world.platform.set_faults(Faults::default());
-    revive(world);
+    restore_nodes(world);
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Thrift's compact encoding, bounded.
+//! Thrift's compact encoding, with size limits.
 
 use bytes::Bytes;
 use thrift::TConfiguration;
@@ -6,8 +6,8 @@
 
 use crate::WireError;
 
-/// Deepest nesting of a message.
-const DEPTH: usize = 16;
+/// Maximum nesting depth of a message.
+const MAX_DEPTH: usize = 16;
 
 /// Encodes a message.
 pub fn encode<T: TSerializable>(message: &T) -> Result<Bytes, WireError> {
@@ -18,17 +18,17 @@
 
 /// Decodes a message.
 ///
-/// Failure: a damaged or hostile message declares a list of billions, and the generated code
-/// reserves memory for it at once. No list or string can be longer than the bytes that came,
-/// so that is the bound.
+/// Without a limit, a damaged or malicious message could declare a list of billions of elements,
+/// and the generated code reserves memory for all of them up front. No valid list or string is
+/// longer than the received bytes, so their number is the limit.
 pub fn decode<T: TSerializable>(bytes: &[u8]) -> Result<T, WireError> {
-    let size = bytes.len().max(1);
+    let max_size = bytes.len().max(1);
     let config = TConfiguration::builder()
-        .max_message_size(Some(size))
-        .max_frame_size(Some(size))
-        .max_container_size(Some(size))
-        .max_string_size(Some(size))
-        .max_recursion_depth(Some(DEPTH))
+        .max_message_size(Some(max_size))
+        .max_frame_size(Some(max_size))
+        .max_container_size(Some(max_size))
+        .max_string_size(Some(max_size))
+        .max_recursion_depth(Some(MAX_DEPTH))
         .build()?;
     let mut input = TCompactInputProtocol::with_config(bytes, config);
     Ok(T::read_from_in_protocol(&mut input)?)
