--- a/crates/cell/tests/reads.rs
+++ b/crates/cell/tests/reads.rs
@@ -1,4 +1,4 @@
-//! How far the intake was read.
+//! Progress of reading the intake.
 
 use cactuswheel_cell::{Coverage, IntakeProgress};
 use cactuswheel_model::Time;
@@ -7,9 +7,10 @@
     Time::new(ms)
 }
 
-/// Jobs go on for seconds after their cancelling was acknowledged. Callers ask for jobs that
-/// were not read yet, each question reads the intake from the takeover on, and a thousand
-/// submissions of a kilobyte fill the link; cancels are read when it is free again.
+/// Guards against jobs that run on for seconds after their cancellation was acknowledged. Callers
+/// query jobs that were not read yet; if each query read the intake from the takeover on, a
+/// thousand submissions of a kilobyte would saturate the link, and cancellations would be read
+/// late.
 #[test]
 fn only_what_is_new() {
     let mut progress = IntakeProgress::new([100, 100]);
@@ -21,7 +22,7 @@
     assert_eq!(progress.check(1, at(5)), Coverage::ReadFrom(100));
 }
 
-/// A read that was sent before the question came proves nothing about it.
+/// A read that was sent before a query arrived does not cover the query.
 #[test]
 fn sent_before() {
     let mut progress = IntakeProgress::new([0]);
@@ -32,7 +33,8 @@
     assert_eq!(progress.check(0, at(12)), Coverage::ReadFrom(4));
 }
 
-/// A question waits for ever. The read that it waits for failed, and no other is sent.
+/// Guards against a query that waits forever because the read it waits for failed and no other is
+/// sent.
 #[test]
 fn failed_read() {
     let mut progress = IntakeProgress::new([7]);
@@ -41,7 +43,7 @@
     assert_eq!(progress.check(0, at(10)), Coverage::ReadFrom(7));
 }
 
-/// An older page that comes late takes nothing back.
+/// An older page that arrives late does not reset the progress.
 #[test]
 fn late_page() {
     let mut progress = IntakeProgress::new([0]);
--- a/crates/cell/tests/world/job.rs
+++ b/crates/cell/tests/world/job.rs
@@ -1,10 +1,11 @@
-//! Jobs and a configuration for tests.
+//! Jobs and the fleet configuration that the tests and benches use.
 
 use cactuswheel_model::{Map, Millis};
 use cactuswheel_work::{
     BodyLimits, Cap, FleetConfig, JobId, Queue, Room, Service, Step, Submission, Team, TeamWeight,
 };
 
+/// The queue of all jobs.
 pub fn queue() -> Queue {
     Queue {
         name: "short".into(),
@@ -21,6 +22,7 @@
     }
 }
 
+/// A configuration with one queue, one service and one team, whose quota is 60 cores.
 pub fn config() -> FleetConfig {
     let service = Service {
         name: "pool".into(),
@@ -49,7 +51,8 @@
     }
 }
 
-/// `count` tasks of four cores in each of `chain` steps, one after the other.
+/// A chain of `chain` steps, each with `count` tasks of four cores and the given estimate of the
+/// run time in milliseconds. A step starts when the previous one is done.
 pub fn steps(chain: u32, count: u32, estimate: u64) -> Vec<Step> {
     let steps = (0..chain).map(|n| Step {
         count,
@@ -76,6 +79,7 @@
     steps.collect()
 }
 
+/// A job of the team `team` with the given steps.
 pub fn job(id: u64, steps: Vec<Step>) -> Submission {
     Submission {
         job: JobId::new(id),
@@ -91,7 +95,8 @@
     }
 }
 
-/// A job whose `count` tasks last, at most `spread` on one worker and one away at a time.
+/// A job with `count` long-running tasks, of which at most `spread` run on one worker and at most
+/// one may be disrupted at a time.
 pub fn lasting(id: u64, count: u32, spread: u32) -> Submission {
     let mut steps = steps(1, count, 0);
     steps[0].lasting = true;
