--- a/crates/cell/src/admission.rs
+++ b/crates/cell/src/admission.rs
@@ -69,9 +69,9 @@
 /// Longest acceptable delays between a job's acceptance and its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Slack {
-    /// Longest delay with which the job can still be done within its objective.
+    /// Longest delay after which the job can still complete within its objective.
     pub timely: Duration,
-    /// Longest delay with which the job can be done while it is still useful.
+    /// Longest delay after which the job can complete while it is still useful.
     pub useful: Duration,
 }
 
@@ -149,8 +149,8 @@
     /// Returns the estimated start delay if the job has to be refused because it would start too
     /// late; `None` if it can be accepted.
     ///
-    /// Without this check the cell accepts far more jobs than it can start. All of them are late
-    /// then, and the last ones do not run for a minute.
+    /// Without this check the cell would accept far more jobs than it can start. All of them would
+    /// be late, and the last ones would not start for a minute.
     pub fn overload_delay(&self, sub: &Submission) -> Option<StartDelay> {
         if self.jobs.contains(&sub.job) || self.finished.contains_key(&sub.job) {
             return None;
--- a/crates/cell/src/attempt.rs
+++ b/crates/cell/src/attempt.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether a long-running run does its work.
+    /// Whether a long-running run is active: it has started up and does its work.
     pub(crate) fn is_active(&self) -> bool {
         self.phase == Phase::Running && self.percent >= 100
     }
--- a/crates/cell/src/batch.rs
+++ b/crates/cell/src/batch.rs
@@ -31,7 +31,8 @@
     pub(crate) states: Vec<(JobId, JobState)>,
     /// Finished jobs without any remaining runs.
     pub(crate) finished: Vec<(JobId, Finished)>,
-    /// Ends that may be acknowledged: worker, its start time, highest end number.
+    /// End records that may be acknowledged: the worker, the start time of its incarnation and the
+    /// highest number of an end record.
     pub(crate) ends: Vec<(WorkerId, u64, u64)>,
 }
 
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -60,7 +60,7 @@
     pub(crate) wait_queue: WaitQueue,
     /// When the next occurrence of each recurring job is due, in milliseconds since 1970.
     pub(crate) due_turns: BTreeSet<(u64, JobId)>,
-    /// Jobs whose last record is in the journal; only this record is kept.
+    /// Jobs whose final record is in the journal; only this record is kept.
     ///
     /// Invariant: disjoint from `jobs`.
     pub(crate) finished: Map<JobId, FinishedJob>,
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Number of jobs of a queue of which no task has started yet.
+    /// Number of jobs of a queue that have not started any task yet.
     pub fn pending_jobs(&self, queue: &QueueName) -> u64 {
         let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
         let waiting =
--- a/crates/cell/src/choices.rs
+++ b/crates/cell/src/choices.rs
@@ -6,7 +6,7 @@
 use crate::place::Affinity;
 use crate::run_state::Task;
 
-/// A task and the worker chosen for it. The room on the worker is already taken up.
+/// A task and the worker chosen for it. The room on the worker is already allocated.
 pub(crate) struct Choice {
     pub(crate) task: TaskId,
     pub(crate) run: u32,
@@ -35,7 +35,7 @@
     pub(crate) affinity: Option<Affinity>,
     /// Room used by the team's runs, including these choices.
     pub(crate) used: Room,
-    /// The team's limit.
+    /// The team's quota.
     pub(crate) cap: Cap,
 }
 
--- a/crates/cell/src/commit.rs
+++ b/crates/cell/src/commit.rs
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Drops a job whose final record the journal holds, except for that record, and lists its
-    /// submission for removal.
+    /// Reduces a job to its final record, which the journal now holds, and lists its submission for
+    /// removal.
     ///
     /// If submissions of finished jobs stayed in the intake, a new owner would read all of them,
-    /// with their specs, before it starts anything; on a narrow link that takes seconds. The
-    /// journal's record answers all that callers may still ask, so the submission is not needed.
+    /// with their specs, before it starts any task; on a slow link that takes seconds. The journal
+    /// record is enough to answer all queries about the job, so the submission is not needed.
     fn retain_finished(&mut self, id: JobId, job: Finished) {
         let known = self.jobs.remove(&id);
         // A cancellation is always stored in the intake, even if the submission is only in the
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Adds a finished job to those that callers can ask for.
+    /// Adds a finished job to those that callers can query.
     pub(crate) fn insert_finished(&mut self, id: JobId, entry: FinishedJob) {
         if self.finished.insert(id, entry).is_none() {
             self.finished_order.push_back(id);
@@ -146,9 +146,9 @@
     /// Returns the approximate size in bytes of the start orders that follow each job's record.
     ///
     /// The size limit of a batch covers its orders too. Otherwise, when the jobs of a queue start
-    /// all at once, the orders with their specs take ten times the bytes of the journal records; on
-    /// a narrow link, lease renewals, polls and answers wait behind them for longer than their
-    /// timeouts, and healthy workers and relays are given up.
+    /// all at once, the orders with their specs take ten times the bytes of the journal records. On
+    /// a slow link, lease renewals, polls and answers would wait behind them for longer than their
+    /// timeouts, and healthy workers and relays would be treated as failed.
     fn order_sizes(&self) -> Map<JobId, usize> {
         let mut sizes: Map<JobId, usize> = Map::default();
         for start in &self.planned {
@@ -160,7 +160,7 @@
         sizes
     }
 
-    /// Marks ends as journaled when there is nothing to write: these ends changed no job.
+    /// Marks end records as journaled if no job changed, since they then need no journal record.
     fn mark_ends_written(&mut self) {
         self.workers.update_indexes();
         let fresh: Vec<WorkerId> = self.workers.unjournaled().map(|w| w.id.clone()).collect();
--- a/crates/cell/src/demand.rs
+++ b/crates/cell/src/demand.rs
@@ -53,7 +53,7 @@
     }
 
     /// Adds the current and future demand of a short job that is not finished. Waiting tasks count
-    /// only as far as the team's limit lets them start, and are added to `overdue` if the job can
+    /// only as far as the team's quota lets them start, and are added to `overdue` if the job can
     /// no longer meet its objective.
     pub(crate) fn add_forecast(
         &self,
--- a/crates/cell/src/evacuation.rs
+++ b/crates/cell/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Emptying of workers whose instances are needed elsewhere or are due for maintenance.
+//! Evacuation of workers whose instances are needed elsewhere or are due for maintenance.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 /// Interval between attempts to stop long-running tasks on evacuating workers. A replacement is
 /// seen to be active after some hundred milliseconds, and each attempt iterates over every run
-/// that may have to leave.
+/// that may have to be stopped.
 const EVACUATION_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Disruption of a step when one of its long-running tasks is stopped.
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Closes a worker whose instance was ordered to move away; its end does not count as a
-    /// crash.
+    /// Closes a worker whose instance was ordered to move away; the end of this worker does not
+    /// count as a crash.
     pub fn begin_removal(&mut self, id: &WorkerId) {
         self.close(id, false);
         if let Some(worker) = self.workers.get_mut(id) {
--- a/crates/cell/src/finished.rs
+++ b/crates/cell/src/finished.rs
@@ -13,12 +13,13 @@
     pub(crate) state: JobState,
     pub(crate) team: Option<TeamName>,
     pub(crate) queue: QueueName,
-    /// Tasks that were restarted after a run was abandoned because its worker was silent.
+    /// Tasks that were restarted after a run was abandoned because its worker did not answer.
     pub(crate) redone: Vec<Redone>,
 }
 
-/// A task that was restarted after a run was abandoned because its worker was silent. If the worker
-/// later lists the end of the abandoned run, that end must not be acknowledged.
+/// A task that was restarted after a run was abandoned because its worker did not answer. If the
+/// worker later lists an end record that shows the abandoned run as done, the record must not be
+/// acknowledged: the work would count as done twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redone {
     pub(crate) task: TaskId,
--- a/crates/cell/src/free_index.rs
+++ b/crates/cell/src/free_index.rs
@@ -33,8 +33,8 @@
 
 /// Index of the workers of one service that may take tasks, by free processor capacity.
 ///
-/// The cost of finding the fullest worker with enough room does not depend on the number of
-/// workers, be it fifty or thousands.
+/// The cost of finding the fullest worker with enough room is the same with fifty workers as with
+/// thousands.
 #[derive(Debug, Default)]
 pub(crate) struct FreeIndex {
     all: BTreeSet<Slot>,
--- a/crates/cell/src/hand_in.rs
+++ b/crates/cell/src/hand_in.rs
@@ -21,12 +21,12 @@
     Busy,
 }
 
-/// What the owner knows about a job; a front queries it before it refuses the job.
+/// What the owner knows about a job; a front end queries it before it refuses the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
     /// The store holds the job: it was accepted.
     Stored,
-    /// The job is known, and its submission may be on the way into the store.
+    /// The owner knows the job, but the store may not hold its submission yet.
     Pending,
     /// The owner does not know the job.
     Unknown,
@@ -36,8 +36,8 @@
     /// Returns what the owner knows about a job.
     ///
     /// A job in memory counts as stored only if the intake or the journal holds its submission.
-    /// Otherwise an owner that is cut off from the store would report a job that it could not
-    /// write, a front would take that for an acceptance, and the job would be lost with the owner.
+    /// Otherwise an owner that cannot reach the store would report a job that it could not write, a
+    /// front end would take this for an acceptance, and the job would be lost with the owner.
     pub fn standing(&self, id: JobId) -> Standing {
         if self.finished.contains_key(&id) {
             return Standing::Stored;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes a job from a front; `record` is its encoded submission.
+    /// Takes a job from a front end; `record` is its encoded submission.
     ///
     /// A job is taken only while no batch is in flight, so that a job that is refused during an
     /// append leaves no state behind.
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -18,25 +18,26 @@
     pub(crate) journaled: Option<JobState>,
     /// Occurrences that have become due, in order.
     pub(crate) turns: Vec<Turn>,
-    /// When its caller submitted it.
+    /// When the caller submitted the job.
     pub(crate) arrived: Time,
-    /// When it reached its final state.
+    /// When the job reached its final state.
     pub(crate) ended: Option<Time>,
     /// Longest chain of work from each step onwards, in milliseconds by the caller's estimates.
     pub(crate) tails: Vec<u64>,
     /// Whether any task is known to have started.
     pub(crate) started: bool,
-    /// Whether it exceeds its team's share; while the fleet is full it waits for jobs that do not.
+    /// Whether the job exceeds its team's share; while the fleet is full, such a job waits for jobs
+    /// within their team's share.
     pub(crate) over_share: bool,
-    /// Whether this owner has ever planned a run of it.
+    /// Whether this owner has ever planned a run of the job.
     pub(crate) ever_planned: bool,
-    /// Tasks that were restarted after a run was abandoned because its worker was silent.
+    /// Tasks that were restarted after a run was abandoned because its worker did not answer.
     pub(crate) redone: Vec<Redone>,
-    /// Whether the intake holds its submission.
+    /// Whether the intake holds the job's submission.
     pub(crate) in_intake: bool,
-    /// Whether the journal holds its submission.
+    /// Whether the journal holds the job's submission.
     pub(crate) in_journal: bool,
-    /// Whether it changed since its entry in the wait queue was last updated.
+    /// Whether the job changed since its entry in the wait queue was last updated.
     pub(crate) touched: bool,
 }
 
@@ -61,8 +62,8 @@
         }
     }
 
-    /// The record that is kept of the job once it is in a final state and none of its runs is left;
-    /// `None` before that.
+    /// The record to keep of the job. `None` until the job is in a final state and none of its runs
+    /// is left.
     pub(crate) fn finished(&self) -> Option<Finished> {
         let over = self.state.is_final() && self.attempts().next().is_none();
         over.then(|| Finished {
--- a/crates/cell/src/journal.rs
+++ b/crates/cell/src/journal.rs
@@ -15,8 +15,8 @@
 /// Format version, the first byte of every record. Records of other versions are rejected.
 const VERSION: u8 = 7;
 
-/// Largest record that is encoded or decoded, in bytes. When decoding, it limits the allocations for
-/// a damaged record, whose declared lengths cannot be trusted.
+/// Largest record that is encoded or decoded, in bytes. When decoding, it limits the allocations
+/// for a damaged record, whose declared lengths cannot be trusted.
 const MAX_RECORD: u64 = 1 << 20;
 
 /// Error while decoding a record.
--- a/crates/cell/src/losses.rs
+++ b/crates/cell/src/losses.rs
@@ -6,8 +6,8 @@
 use crate::cell::Cell;
 
 impl Cell {
-    /// Gives up the runs of a worker that does not answer and whose leases have all expired. The
-    /// worker may still report later that they completed earlier.
+    /// Abandons the runs of a worker that does not answer and whose leases have all expired. The
+    /// worker may later still report that they completed before the expiry.
     pub(crate) fn abandon_runs(&mut self, id: &WorkerId) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -111,11 +111,10 @@
 
     /// Handles a new incarnation of a worker: runs that were listed in an earlier one are lost.
     ///
-    /// When a worker restarts under the same name, orders meant for the earlier incarnation may
-    /// be carried out by the new one. Declaring such runs lost would start their tasks a second
-    /// time beside them. A run that was never listed may therefore be in the new incarnation. It
-    /// is treated as part of it until the worker's lists or the answer to its order show
-    /// otherwise.
+    /// When a worker restarts under the same name, orders meant for the earlier incarnation may be
+    /// carried out by the new one. If such a run were declared lost, its task would start a second
+    /// time beside it. A run that was never listed may therefore be in the new incarnation, and is
+    /// treated as such until the worker's lists or the answer to its start order show otherwise.
     pub(crate) fn lose_older_runs(&mut self, id: &WorkerId, born: u64) {
         let Some(worker) = self.workers.get(id) else {
             return;
--- a/crates/cell/src/probation.rs
+++ b/crates/cell/src/probation.rs
@@ -10,7 +10,7 @@
 /// against that run.
 const PROBATION: Duration = Duration::from_millis(100);
 
-/// Time a run has to be active for earlier crashes to count no longer against its task.
+/// Time that a run has to be active until earlier crashes no longer count against its task.
 const EXONERATION: Duration = Duration::from_secs(10);
 
 impl Attempt {
@@ -19,8 +19,8 @@
         self.ran_for(alive, PROBATION)
     }
 
-    /// Whether the run was active for so long that it is very unlikely to have caused its
-    /// worker's end.
+    /// Whether the run was active for so long before the worker was last known alive, at `alive`,
+    /// that it is very unlikely to have caused the worker's end.
     pub(crate) fn is_exonerated(&self, alive: Time) -> bool {
         self.ran_for(alive, EXONERATION)
     }
--- a/crates/cell/src/schedule.rs
+++ b/crates/cell/src/schedule.rs
@@ -179,8 +179,8 @@
         (!free.is_empty()).then_some(PendingStep { id, turn, free })
     }
 
-    /// Picks workers for the step's tasks and takes up their room; stops at the first task that no
-    /// worker can run.
+    /// Picks workers for the step's tasks and allocates the room there; stops at the first task
+    /// that no worker can run.
     fn pick_workers(
         &mut self,
         pending: &PendingStep,
@@ -199,11 +199,11 @@
         let unconstrained = allowed.is_none() && step.label.is_none() && step.spread == 0;
         for &index in &pending.free {
             if !chosen.cap.admits(chosen.used, step.room) {
-                // The team is at its limit. This is not counted as a miss, as the tasks of other
-                // teams may still fit.
+                // The team's quota is used up. This is not counted as a miss, because tasks of
+                // other teams may still fit.
                 break;
             }
-            // A gang is never isolated, since it starts on several workers at once.
+            // A gang is not isolated as a suspect, because it starts on several workers at once.
             let suspect = run.tasks[index].is_suspect() && !step.gang;
             if !suspect && unconstrained && misses.covers(step.reserved()) {
                 misses.add(None);
@@ -222,7 +222,7 @@
             };
             let worker = match self.place(service, &constraints) {
                 Placement::At(worker) => worker,
-                // Neither result says anything about the room for other tasks.
+                // `Wait` and `Reserve` say nothing about the room for other tasks.
                 Placement::Wait => continue,
                 Placement::Reserve(worker) => {
                     self.workers.reserve(&worker, self.now);
@@ -268,7 +268,7 @@
         worker.map_or(Placement::NoFit, Placement::At)
     }
 
-    /// Room used by the runs of a job's team, and the team's limit.
+    /// Room used by the runs of a job's team, and the team's quota.
     fn quota(&self, job: &Job) -> (Room, Cap) {
         let team = job.sub.team.as_ref();
         let used = team.map(|t| self.usage.of(t)).unwrap_or_default();
@@ -283,7 +283,8 @@
         Some(Affinity::of(entry))
     }
 
-    /// Rack on which a step is running that should stay on a single rack.
+    /// Rack on which a step already has an attempt; `None` if there is none or the step need not
+    /// stay on a single rack.
     fn current_rack(&self, run: &StepRun, step: &Step) -> Option<String> {
         if !step.tight {
             return None;
@@ -333,7 +334,7 @@
     }
 }
 
-/// What a run of a step takes up on its worker.
+/// The allocation for a run of a step on its worker.
 pub(crate) fn held(run: u32, step: &Step) -> Allocation {
     Allocation {
         run,
--- a/crates/cell/src/tallies.rs
+++ b/crates/cell/src/tallies.rs
@@ -3,8 +3,8 @@
 /// Events counted since the previous [`crate::Cell::take_tallies`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tallies {
-    /// Workers that ended with runs on them, although no order of the cell's owner had ended
-    /// them.
+    /// Workers that ended unexpectedly while they had runs; workers that were draining or whose
+    /// instance was ordered to move away do not count.
     pub workers_ended: u64,
     /// Runs lost with such workers.
     pub runs_lost: u64,
--- a/crates/cell/src/view.rs
+++ b/crates/cell/src/view.rs
@@ -15,18 +15,19 @@
     pub worker: WorkerId,
     /// Service of the worker's pool.
     pub service: ServiceName,
-    /// Whether it responds and takes work.
+    /// Whether the worker answers polls and may get new tasks.
     pub open: bool,
-    /// Whether it responds but is kept free of new work: it was closed, its data centre is being
-    /// evacuated, or it is spent.
+    /// Whether the worker answers polls but gets no new tasks because it was closed, its data
+    /// centre is evacuated, or it is `spent`.
     pub closing: bool,
-    /// Whether its data centre is being evacuated.
+    /// Whether the worker's data centre is evacuated.
     pub evacuated: bool,
-    /// Whether it can take no more work until it is restarted.
+    /// Whether the worker gets no more tasks until it is restarted, because some of its end records
+    /// must not be acknowledged.
     pub spent: bool,
     /// Capacity of the worker.
     pub room: Room,
-    /// Room taken up by runs.
+    /// Room allocated to runs.
     pub used: Room,
     /// Number of its long-running runs.
     pub lasting: usize,
@@ -69,14 +70,14 @@
 /// Load of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Room taken up by runs.
+    /// Room allocated to runs.
     pub used: Room,
     /// Room requested by tasks that could start now if there were room.
     pub waiting: Room,
     /// Room requested by such tasks of jobs that can no longer meet their objective; not part of
     /// `waiting`.
     pub overdue: Room,
-    /// Room taken up or requested by long-running steps.
+    /// Room allocated to or requested by long-running steps.
     pub lasting: Room,
     /// Number of workers over which long-running steps have to be spread.
     pub spread: usize,
--- a/crates/cell/src/workers.rs
+++ b/crates/cell/src/workers.rs
@@ -30,7 +30,7 @@
 /// The workers of a cell, indexed by what has to be done with them.
 ///
 /// An event concerns one worker, and only the index entries of that worker are recomputed. The
-/// cost of an event therefore does not depend on the number of workers, be it fifty or thousands.
+/// cost of an event is therefore the same with fifty workers as with thousands.
 ///
 /// Invariant: after [`Workers::update_indexes`] the indexes agree with the state of every worker.
 #[derive(Debug, Default)]
@@ -44,7 +44,7 @@
     polls: BTreeSet<(Time, u32)>,
     /// Workers that missed a poll or are no longer registered.
     silent: Set<WorkerId>,
-    /// Workers that long-running tasks have to leave.
+    /// Workers on which long-running tasks have to be stopped.
     evacuating: Set<WorkerId>,
     /// Workers with end records that are not in the journal yet.
     unjournaled: Set<WorkerId>,
@@ -57,7 +57,8 @@
         self.all.get(id)
     }
 
-    /// Returns a worker to be changed; its index entries are recomputed later.
+    /// Returns a worker for modification; its index entries are recomputed by the next
+    /// [`Self::update_indexes`].
     pub(crate) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         let worker = self.all.get_mut(id)?;
         if !std::mem::replace(&mut worker.indexed.touched, true) {
@@ -66,7 +67,7 @@
         Some(worker)
     }
 
-    /// Returns a worker to be changed, creating it if it is unknown.
+    /// Returns a worker for modification, creating it if it is unknown.
     pub(crate) fn get_or_add(&mut self, id: &WorkerId, fence: u64, now: Time) -> &mut Worker {
         if !self.all.contains_key(id) {
             let number = self.numbered.len() as u32;
@@ -165,7 +166,7 @@
         self.silent.iter().filter_map(|id| self.all.get(id))
     }
 
-    /// Workers that long-running tasks have to leave.
+    /// Workers on which long-running tasks have to be stopped.
     pub(crate) fn evacuating(&self) -> impl Iterator<Item = &Worker> {
         self.evacuating.iter().filter_map(|id| self.all.get(id))
     }
@@ -269,7 +270,7 @@
         Some((entry.service.clone(), place))
     }
 
-    /// When the worker is to be polled next; `None` while a poll is in flight or of no use.
+    /// When the worker is to be polled next; `None` while a poll is in flight or none is needed.
     ///
     /// A worker that is no longer registered may still be alive; it is polled while it has
     /// allocations to learn how they end. An end record is acknowledged once it is in the
