--- a/crates/cell/src/blame.rs
+++ b/crates/cell/src/blame.rs
@@ -36,6 +36,7 @@
 pub(crate) struct AbandonedRuns {
     /// Start time of the worker's incarnation.
     born: u64,
+    /// When the runs were abandoned.
     at: Time,
     runs: Vec<(TaskId, u32)>,
 }
@@ -44,9 +45,11 @@
 struct CrashedRun {
     task: TaskId,
     run: u32,
+    /// The run had started so recently that it may have caused the crash.
     fresh: bool,
     /// This owner ordered the run, and it certainly started.
     started: bool,
+    /// The run was active for so long that crashes do not count against its task.
     cleared: bool,
 }
 
--- a/crates/cell/src/forecast.rs
+++ b/crates/cell/src/forecast.rs
@@ -6,7 +6,7 @@
 pub const SLOT_MS: u64 = 250;
 
 /// Number of slots. They cover four seconds, which is twice the time that an instance takes to
-/// arrive or to pay for its move.
+/// arrive, or to do enough work to make its move worthwhile.
 pub const SLOTS: usize = 16;
 
 /// Room requested in each slot from now on, assuming that every task can start as soon as it is
--- a/crates/cell/src/view.rs
+++ b/crates/cell/src/view.rs
@@ -29,9 +29,9 @@
     pub room: Room,
     /// Room allocated to runs.
     pub used: Room,
-    /// Number of its long-running runs.
+    /// Number of long-running runs on the worker.
     pub lasting: usize,
-    /// Number of all its runs.
+    /// Number of all runs on the worker.
     pub runs: usize,
 }
 
@@ -40,7 +40,7 @@
 pub struct RunView {
     /// The task.
     pub task: TaskId,
-    /// Its worker.
+    /// Worker of the run.
     pub worker: WorkerId,
     /// Number of the run.
     pub run: u32,
@@ -53,11 +53,11 @@
 /// A job, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobView {
-    /// Its queue.
+    /// Queue of the job.
     pub queue: QueueName,
     /// The state that is reported to callers.
     pub state: JobState,
-    /// Time since its submission; of a finished job, time since its end.
+    /// Time since the job's submission; for a finished job, time since its end.
     pub age: Duration,
     /// Number of tasks that are done; 0 for a finished job, where it is not known.
     pub done: usize,
--- a/crates/cell/src/wait_queue.rs
+++ b/crates/cell/src/wait_queue.rs
@@ -15,9 +15,9 @@
     pub(crate) rank: Rank,
     /// Time until which the rank is valid if the job does not change.
     pub(crate) valid_until: Time,
-    /// Work of its waiting tasks, in thousandths of a core times milliseconds.
+    /// Work of the job's waiting tasks, in thousandths of a core times milliseconds.
     pub(crate) work: u64,
-    /// Number of its waiting tasks.
+    /// Number of the job's waiting tasks.
     pub(crate) tasks: u64,
 }
 
