--- a/crates/cell/src/view.rs
+++ b/crates/cell/src/view.rs
@@ -15,22 +15,23 @@
     pub worker: WorkerId,
     /// Service of the worker's pool.
     pub service: ServiceName,
-    /// Whether it responds and takes work.
+    /// Whether the worker answers polls and may get new tasks.
     pub open: bool,
-    /// Whether it responds but is kept free of new work: it was closed, its data centre is being
-    /// evacuated, or it is spent.
+    /// Whether the worker answers polls but gets no new tasks because it was closed, its data
+    /// centre is evacuated, or it is `spent`.
     pub closing: bool,
-    /// Whether its data centre is being evacuated.
+    /// Whether the worker's data centre is evacuated.
     pub evacuated: bool,
-    /// Whether it can take no more work until it is restarted.
+    /// Whether the worker gets no more tasks until it is restarted, because some of its end records
+    /// must not be acknowledged.
     pub spent: bool,
     /// Capacity of the worker.
     pub room: Room,
-    /// Room taken up by runs.
+    /// Room allocated to runs.
     pub used: Room,
-    /// Number of its long-running runs.
+    /// Number of long-running runs on the worker.
     pub lasting: usize,
-    /// Number of all its runs.
+    /// Number of all runs on the worker.
     pub runs: usize,
 }
 
@@ -39,7 +40,7 @@
 pub struct RunView {
     /// The task.
     pub task: TaskId,
-    /// Its worker.
+    /// Worker of the run.
     pub worker: WorkerId,
     /// Number of the run.
     pub run: u32,
@@ -52,11 +53,11 @@
 /// A job, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobView {
-    /// Its queue.
+    /// Queue of the job.
     pub queue: QueueName,
     /// The state that is reported to callers.
     pub state: JobState,
-    /// Time since its submission; of a finished job, time since its end.
+    /// Time since the job's submission; for a finished job, time since its end.
     pub age: Duration,
     /// Number of tasks that are done; 0 for a finished job, where it is not known.
     pub done: usize,
@@ -69,14 +70,14 @@
 /// Load of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Room taken up by runs.
+    /// Room allocated to runs.
     pub used: Room,
     /// Room requested by tasks that could start now if there were room.
     pub waiting: Room,
     /// Room requested by such tasks of jobs that can no longer meet their objective; not part of
     /// `waiting`.
     pub overdue: Room,
-    /// Room taken up or requested by long-running steps.
+    /// Room allocated to or requested by long-running steps.
     pub lasting: Room,
     /// Number of workers over which long-running steps have to be spread.
     pub spread: usize,
