--- a/crates/daemon/src/maintenance.rs
+++ b/crates/daemon/src/maintenance.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use cactuswheel_maintenance::{Action, Activity, Driver, Look, Order, Seen, Verb, View};
+use cactuswheel_maintenance::{
+    Action, Activity, Driver, Order, OrderKind, RosterStatus, View, WorkerStatus,
+};
 use cactuswheel_model::{InstanceId, Map, Record};
 use cactuswheel_platform as platform;
 use cactuswheel_platform::{Presence, Use, WorkerState, Workers};
@@ -42,14 +44,14 @@
 /// What worker control last said, refreshed a few instances at a time.
 #[derive(Debug, Default)]
 struct WorkerLooks {
-    seen: Map<InstanceId, Look>,
+    seen: Map<InstanceId, WorkerStatus>,
     /// Where the last refresh stopped.
     turn: usize,
 }
 
 impl WorkerLooks {
     async fn refresh(&mut self, shared: &Shared, driver: &Driver) {
-        let watched = driver.watched(&shared.state.load());
+        let watched = driver.instances_to_poll(&shared.state.load());
         self.seen.retain(|id, _| watched.contains(id));
         let most = (LOOKS / (rank(shared) as usize + 1)).max(1);
         let start = self.turn.checked_rem(watched.len()).unwrap_or(0);
@@ -77,20 +79,20 @@
     let seen = sightings.instances.iter().map(|s| {
         let live = s.presence == Presence::Live;
         let incarnation = s.incarnation;
-        (s.id.clone(), Seen { incarnation, live })
+        (s.id.clone(), RosterStatus { incarnation, live })
     });
     let view = View {
         now: shared.now(),
-        wall: wall(),
+        unix_time: wall(),
         entry: &shared.settings.entry,
         rank: rank(shared),
         state: &state,
-        age: shared.metrics.roster.age(),
-        seen: &seen.collect(),
-        looks: &looks.seen,
+        staleness: shared.metrics.roster.age(),
+        roster: &seen.collect(),
+        statuses: &looks.seen,
     };
     let actions = driver.step(&view);
-    let waits = driver.reasons(&view);
+    let waits = driver.wait_reasons(&view);
     let waits = waits.iter().map(ToString::to_string).collect();
     shared.waits.store(Arc::new(waits));
     actions
@@ -99,7 +101,7 @@
 async fn act(shared: Arc<Shared>, action: Action) {
     let record = match action {
         Action::Propose(step) => Record::Disruption(step),
-        Action::Start(wave) => Record::Wave(wave),
+        Action::StartWave(wave) => Record::Wave(wave),
         Action::Order(order) => return obey(&shared, &order).await,
     };
     let body = match serde_json::to_string(&record) {
@@ -117,14 +119,14 @@
         fence: order.fence,
     };
     let workers = &shared.platform;
-    let done = match order.verb {
-        Verb::Drain => workers.drain(&order.instance, what).await,
-        Verb::Resume => workers.resume(&order.instance, what).await,
-        Verb::Reboot => workers.reboot(&order.instance, what).await,
+    let done = match order.kind {
+        OrderKind::Drain => workers.drain(&order.instance, what).await,
+        OrderKind::Resume => workers.resume(&order.instance, what).await,
+        OrderKind::Reboot => workers.reboot(&order.instance, what).await,
     };
     match done {
-        Ok(()) => log::info!("{:?} of {}", order.verb, order.instance),
-        Err(e) => log::warn!("{:?} of {}: {e}", order.verb, order.instance),
+        Ok(()) => log::info!("{:?} of {}", order.kind, order.instance),
+        Err(e) => log::warn!("{:?} of {}: {e}", order.kind, order.instance),
     }
 }
 
@@ -137,8 +139,8 @@
         .count() as u32
 }
 
-fn look(state: &WorkerState) -> Look {
-    Look {
+fn look(state: &WorkerState) -> WorkerStatus {
+    WorkerStatus {
         incarnation: state.incarnation,
         activity: match state.activity {
             platform::Activity::Serving => Activity::Serving,
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -19,7 +19,7 @@
     fn check_maintenance(&self) -> Result<(), SettingsFault> {
         let bounds = [
             ("parallel", self.maintenance.parallel),
-            ("failures", self.maintenance.failures),
+            ("failures", self.maintenance.overdue_limit),
         ];
         match bounds.iter().find(|(_, bound)| *bound == 0) {
             None => Ok(()),
--- a/crates/maintenance/src/action.rs
+++ b/crates/maintenance/src/action.rs
@@ -8,7 +8,7 @@
     /// Append a step of an outage to the log.
     Propose(Disruption),
     /// Append the start of a wave to the log.
-    Start(Wave),
+    StartWave(Wave),
     /// Give an order to worker control.
     Order(Order),
 }
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// What to do.
-    pub verb: Verb,
+    pub kind: OrderKind,
     /// The instance.
     pub instance: InstanceId,
     /// The life that it is for.
@@ -28,7 +28,7 @@
 
 /// What worker control is to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Verb {
+pub enum OrderKind {
     /// Keep new work away.
     Drain,
     /// Take work again.
--- a/crates/maintenance/src/driver.rs
+++ b/crates/maintenance/src/driver.rs
@@ -6,19 +6,19 @@
 use cactuswheel_model::{Disruption, InstanceId, Offset, Set};
 
 use crate::timers::Timers;
-use crate::{Action, Order, Settings, Verb, View};
+use crate::{Action, Order, OrderKind, Settings, View};
 
 /// Carries outages through. Holds nothing that another entry's driver needs.
 #[derive(Debug)]
 pub struct Driver {
     pub(crate) settings: Settings,
-    pub(crate) timers: Timers<(InstanceId, Mark)>,
+    pub(crate) timers: Timers<(InstanceId, Condition)>,
     /// Instances whose grant ended and whose drain may still have to be lifted.
-    released: Set<InstanceId>,
+    pending_resume: Set<InstanceId>,
     /// Instances held when last looked at.
-    held: Set<InstanceId>,
+    in_outage: Set<InstanceId>,
     /// Steps so far; walks over all instances to find drains that nobody remembers.
-    steps: usize,
+    step_count: usize,
     /// Instances that have not come back for long.
     pub(crate) overdue: Vec<InstanceId>,
     pub(crate) actions: Vec<Action>,
@@ -26,21 +26,21 @@
 
 /// A condition that the driver times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Mark {
+pub(crate) enum Condition {
     /// The instance is not in the roster, or leaves it without a plan.
     Missing,
     /// It looks healthy after the outage named.
     Healthy(Offset),
     /// Nothing runs on it.
-    Quiet(Offset),
+    Idle(Offset),
     /// The outage is at this stage.
     Draining(Offset),
     /// It has not come back.
-    Away(Offset),
+    Rebooting(Offset),
     /// It is postponed by this record.
     Postponed(Offset),
     /// A step is wanted.
-    Want(Offset, Step),
+    Pending(Offset, Step),
 }
 
 /// Kinds of steps, to tell wishes apart.
@@ -51,7 +51,7 @@
     Cancel,
     Back,
     Lost,
-    Order(Verb),
+    Order(OrderKind),
 }
 
 impl Driver {
@@ -60,21 +60,21 @@
         Self {
             settings,
             timers: Timers::default(),
-            released: Set::default(),
-            held: Set::default(),
-            steps: 0,
+            pending_resume: Set::default(),
+            in_outage: Set::default(),
+            step_count: 0,
             overdue: Vec::new(),
             actions: Vec::new(),
         }
     }
 
     /// Instances that worker control is to be asked about before the next step.
-    pub fn watched(&self, state: &cactuswheel_fleet::State) -> Vec<InstanceId> {
-        let mut watched: Vec<_> = self.released.iter().cloned().collect();
-        let holds = state.disruptions().outages();
-        watched.extend(holds.map(|hold| hold.instance.clone()));
+    pub fn instances_to_poll(&self, state: &cactuswheel_fleet::State) -> Vec<InstanceId> {
+        let mut watched: Vec<_> = self.pending_resume.iter().cloned().collect();
+        let active = state.disruptions().outages();
+        watched.extend(active.map(|outage| outage.instance.clone()));
         let instances = &state.config().instances;
-        let next = self.steps % instances.len().max(1);
+        let next = self.step_count % instances.len().max(1);
         watched.extend(instances.values().nth(next).map(|i| i.id.clone()));
         watched
     }
@@ -84,17 +84,17 @@
     /// Nothing comes out while the platform's word is old: the fold may have moved on, and
     /// neither a record nor an order could be confirmed.
     pub fn step(&mut self, view: &View<'_>) -> Vec<Action> {
-        self.note_released(view);
-        self.steps += 1;
-        if view.age > self.settings.fresh {
+        self.track_ended_outages(view);
+        self.step_count += 1;
+        if view.staleness > self.settings.max_staleness {
             // Timers break: what was seen before an outage of the platform proves nothing.
             self.timers.sweep();
             return Vec::new();
         }
-        self.find_losses(view);
-        self.carry_on(view);
-        self.lift_drains(view);
-        self.start(view);
+        self.report_losses(view);
+        self.advance_outages(view);
+        self.end_stale_drains(view);
+        self.start_outages(view);
         self.timers.sweep();
         std::mem::take(&mut self.actions)
     }
@@ -109,32 +109,37 @@
 
     /// Gives an order, as [`propose`](Self::propose) does.
     pub(crate) fn order(&mut self, view: &View<'_>, order: Order) {
-        let step = Step::Order(order.verb);
+        let step = Step::Order(order.kind);
         if self.due(view, order.instance.clone(), order.fence, step) {
             self.actions.push(Action::Order(order));
         }
     }
 
     fn due(&mut self, view: &View<'_>, id: InstanceId, fence: Offset, step: Step) -> bool {
-        let patience = self.settings.stagger * view.rank;
-        let key = (id, Mark::Want(fence, step));
+        let delay = self.settings.stagger * view.rank;
+        let key = (id, Condition::Pending(fence, step));
         self.timers
-            .due(key, view.now, patience, self.settings.retry)
+            .due(key, view.now, delay, self.settings.retry_interval)
     }
 
     /// Names a condition that holds now and tells for how long it has.
-    pub(crate) fn held(&mut self, view: &View<'_>, id: &InstanceId, mark: Mark) -> Duration {
-        self.timers.held((id.clone(), mark), view.now)
+    pub(crate) fn held_for(
+        &mut self,
+        view: &View<'_>,
+        id: &InstanceId,
+        condition: Condition,
+    ) -> Duration {
+        self.timers.elapsed((id.clone(), condition), view.now)
     }
 
-    fn note_released(&mut self, view: &View<'_>) {
+    fn track_ended_outages(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
         let ended = self
-            .held
+            .in_outage
             .iter()
             .filter(|id| disruptions.outage(id).is_none());
-        self.released.extend(ended.cloned());
-        self.held = disruptions.outages().map(|h| h.instance.clone()).collect();
+        self.pending_resume.extend(ended.cloned());
+        self.in_outage = disruptions.outages().map(|o| o.instance.clone()).collect();
     }
 
     /// Lifts drains that no grant stands behind any more.
@@ -142,30 +147,30 @@
     /// Failure: the driver that cancelled a grant is replaced before it resumed the worker;
     /// symptom: a healthy instance that gets no work. Every driver that saw the grant looks
     /// after it, and all look at one instance after the other for drains sent late.
-    fn lift_drains(&mut self, view: &View<'_>) {
+    fn end_stale_drains(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
-        for (id, look) in view.looks {
-            let hold = disruptions.outage(id);
-            if let crate::Activity::Draining(fence) = look.activity {
-                let needed = hold.is_some_and(|h| {
-                    h.fence >= fence && matches!(h.stage, Stage::Draining(_) | Stage::Rebooting(_))
+        for (id, status) in view.statuses {
+            let current = disruptions.outage(id);
+            if let crate::Activity::Draining(fence) = status.activity {
+                let needed = current.is_some_and(|o| {
+                    o.fence >= fence && matches!(o.stage, Stage::Draining(_) | Stage::Rebooting(_))
                 });
                 // A fold that lags has not read the grant yet. To end it then would leave a
                 // committed reboot that worker control refuses for ever.
                 let known = fence < view.state.next();
                 if known && !needed {
                     let order = Order {
-                        verb: Verb::Resume,
+                        kind: OrderKind::Resume,
                         instance: id.clone(),
-                        incarnation: look.incarnation,
+                        incarnation: status.incarnation,
                         fence,
                     };
                     self.order(view, order);
                 }
                 continue;
             }
-            if hold.is_none() {
-                self.released.remove(id);
+            if current.is_none() {
+                self.pending_resume.remove(id);
             }
         }
     }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -16,9 +16,9 @@
 mod timers;
 mod view;
 
-pub use action::{Action, Order, Verb};
+pub use action::{Action, Order, OrderKind};
 pub use driver::Driver;
-pub use reasons::Reason;
-pub use rollout::rollout_bound;
+pub use reasons::WaitReason;
+pub use rollout::min_wave_duration;
 pub use settings::Settings;
-pub use view::{Activity, Look, Seen, View};
+pub use view::{Activity, RosterStatus, View, WorkerStatus};
--- a/crates/maintenance/src/losses.rs
+++ b/crates/maintenance/src/losses.rs
@@ -3,12 +3,12 @@
 use cactuswheel_fleet::Stage;
 use cactuswheel_model::{Disruption, Instance, Offset};
 
-use crate::driver::{Mark, Step};
+use crate::driver::{Condition, Step};
 use crate::{Driver, View};
 
 impl Driver {
     /// Reports instances that are gone without a plan.
-    pub(crate) fn find_losses(&mut self, view: &View<'_>) {
+    pub(crate) fn report_losses(&mut self, view: &View<'_>) {
         for instance in view.state.config().instances.values() {
             if self.is_lost(view, instance) {
                 self.report(view, instance);
@@ -17,18 +17,19 @@
     }
 
     fn is_lost(&mut self, view: &View<'_>, instance: &Instance) -> bool {
-        let hold = view.state.disruptions().outage(&instance.id);
-        let seen = view.seen.get(&instance.id);
-        let missing = match hold.map(|h| &h.stage) {
+        let current = view.state.disruptions().outage(&instance.id);
+        let seen = view.roster.get(&instance.id);
+        let missing = match current.map(|o| &o.stage) {
             None | Some(Stage::Draining(_)) => seen.is_none_or(|s| !s.live),
             Some(_) => false,
         };
-        missing && self.held(view, &instance.id, Mark::Missing) >= self.settings.loss
+        missing
+            && self.held_for(view, &instance.id, Condition::Missing) >= self.settings.loss_timeout
     }
 
     fn report(&mut self, view: &View<'_>, instance: &Instance) {
         let known = view.state.disruptions().last_incarnation(&instance.id);
-        let seen = view.seen.get(&instance.id).map(|s| s.incarnation);
+        let seen = view.roster.get(&instance.id).map(|s| s.incarnation);
         let lost = Disruption::Lost {
             instance: instance.id.clone(),
             incarnation: seen.unwrap_or_default().max(known),
--- a/crates/maintenance/src/outages.rs
+++ b/crates/maintenance/src/outages.rs
@@ -3,121 +3,122 @@
 use cactuswheel_fleet::{Budget, Outage, Stage};
 use cactuswheel_model::{Disruption, Map, PoolId, Purpose};
 
-use crate::driver::{Mark, Step};
-use crate::{Activity, Driver, Order, Verb, View};
+use crate::driver::{Condition, Step};
+use crate::{Activity, Driver, Order, OrderKind, View};
 
 impl Driver {
     /// Does the next thing for every outage.
-    pub(crate) fn carry_on(&mut self, view: &View<'_>) {
+    pub(crate) fn advance_outages(&mut self, view: &View<'_>) {
         self.overdue.clear();
         let disruptions = view.state.disruptions();
         if disruptions.outages().next().is_none() {
             return;
         }
         let budgets = disruptions.budgets(view.state.config());
-        for hold in disruptions.outages() {
-            if self.is_back(view, hold) {
-                self.bring_back(view, hold);
+        for outage in disruptions.outages() {
+            if self.has_recovered(view, outage) {
+                self.end_outage(view, outage);
                 continue;
             }
-            match &hold.stage {
+            match &outage.stage {
                 Stage::Draining(purpose) => {
-                    let pointless = is_pointless(view, hold, purpose, &budgets);
-                    self.drain(view, hold, pointless);
+                    let obsolete = is_obsolete(view, outage, purpose, &budgets);
+                    self.advance_drain(view, outage, obsolete);
                 }
-                Stage::Rebooting(_) => self.reboot(view, hold),
+                Stage::Rebooting(_) => self.advance_reboot(view, outage),
                 Stage::Arriving | Stage::Lost => {}
             }
         }
     }
 
     /// Whether an instance has looked healthy for long enough.
-    fn is_back(&mut self, view: &View<'_>, hold: &Outage) -> bool {
-        let Some(seen) = view.seen.get(&hold.instance) else {
+    fn has_recovered(&mut self, view: &View<'_>, outage: &Outage) -> bool {
+        let Some(seen) = view.roster.get(&outage.instance) else {
             return false;
         };
-        let newer = match hold.stage {
-            Stage::Draining(_) | Stage::Rebooting(_) => seen.incarnation > hold.incarnation,
-            Stage::Arriving | Stage::Lost => seen.incarnation >= hold.incarnation,
+        let newer = match outage.stage {
+            Stage::Draining(_) | Stage::Rebooting(_) => seen.incarnation > outage.incarnation,
+            Stage::Arriving | Stage::Lost => seen.incarnation >= outage.incarnation,
         };
-        let serves = view.looks.get(&hold.instance).is_some_and(|look| {
-            look.incarnation == seen.incarnation && look.activity == Activity::Serving
+        let serves = view.statuses.get(&outage.instance).is_some_and(|status| {
+            status.incarnation == seen.incarnation && status.activity == Activity::Serving
         });
         if !(newer && seen.live && serves) {
             return false;
         }
-        let healthy = self.held(view, &hold.instance, Mark::Healthy(hold.fence));
-        healthy >= self.settings.settle
+        let healthy = self.held_for(view, &outage.instance, Condition::Healthy(outage.fence));
+        healthy >= self.settings.settle_time
     }
 
-    fn bring_back(&mut self, view: &View<'_>, hold: &Outage) {
-        let Some(seen) = view.seen.get(&hold.instance) else {
+    fn end_outage(&mut self, view: &View<'_>, outage: &Outage) {
+        let Some(seen) = view.roster.get(&outage.instance) else {
             return;
         };
         let back = Disruption::Back {
-            instance: hold.instance.clone(),
-            fence: hold.fence,
+            instance: outage.instance.clone(),
+            fence: outage.fence,
             incarnation: seen.incarnation,
         };
-        self.propose(view, hold.fence, Step::Back, back);
+        self.propose(view, outage.fence, Step::Back, back);
     }
 
-    fn drain(&mut self, view: &View<'_>, hold: &Outage, pointless: bool) {
-        let waited = self.held(view, &hold.instance, Mark::Draining(hold.fence));
-        let Some(look) = view.looks.get(&hold.instance) else {
+    fn advance_drain(&mut self, view: &View<'_>, outage: &Outage, obsolete: bool) {
+        let waited = self.held_for(view, &outage.instance, Condition::Draining(outage.fence));
+        let Some(status) = view.statuses.get(&outage.instance) else {
             return;
         };
-        if look.incarnation != hold.incarnation {
+        if status.incarnation != outage.incarnation {
             return;
         }
-        if look.activity != Activity::Draining(hold.fence) {
-            self.order(view, order(Verb::Drain, hold));
+        if status.activity != Activity::Draining(outage.fence) {
+            self.order(view, order(OrderKind::Drain, outage));
         }
         // What worker control does not show yet, the log does: jobs that are placed.
-        let jobs = view.state.jobs().worker(&hold.instance);
-        let idle = look.running == Some(0)
-            && look.activity == Activity::Draining(hold.fence)
+        let jobs = view.state.jobs().worker(&outage.instance);
+        let idle = status.running == Some(0)
+            && status.activity == Activity::Draining(outage.fence)
             && jobs.is_none_or(|w| w.placed == 0);
-        let quiet =
-            idle && self.held(view, &hold.instance, Mark::Quiet(hold.fence)) >= self.settings.quiet;
-        let late = waited >= self.settings.drain && !idle;
-        if late || pointless {
+        let drained = idle
+            && self.held_for(view, &outage.instance, Condition::Idle(outage.fence))
+                >= self.settings.idle_time;
+        let timed_out = waited >= self.settings.drain_timeout && !idle;
+        if timed_out || obsolete {
             let cancel = Disruption::Cancel {
-                instance: hold.instance.clone(),
-                fence: hold.fence,
-                busy: late,
+                instance: outage.instance.clone(),
+                fence: outage.fence,
+                busy: timed_out,
             };
-            return self.propose(view, hold.fence, Step::Cancel, cancel);
+            return self.propose(view, outage.fence, Step::Cancel, cancel);
         }
-        if quiet {
+        if drained {
             let commit = Disruption::Commit {
-                instance: hold.instance.clone(),
-                fence: hold.fence,
+                instance: outage.instance.clone(),
+                fence: outage.fence,
             };
-            self.propose(view, hold.fence, Step::Commit, commit);
+            self.propose(view, outage.fence, Step::Commit, commit);
         }
     }
 
     /// Orders a reboot that is committed in the newest fold, bound to the life of the grant.
-    fn reboot(&mut self, view: &View<'_>, hold: &Outage) {
-        let away = self.held(view, &hold.instance, Mark::Away(hold.fence));
-        if away >= self.settings.overdue {
-            self.overdue.push(hold.instance.clone());
+    fn advance_reboot(&mut self, view: &View<'_>, outage: &Outage) {
+        let away = self.held_for(view, &outage.instance, Condition::Rebooting(outage.fence));
+        if away >= self.settings.overdue_timeout {
+            self.overdue.push(outage.instance.clone());
         }
-        let Some(look) = view.looks.get(&hold.instance) else {
+        let Some(status) = view.statuses.get(&outage.instance) else {
             return;
         };
-        if look.incarnation == hold.incarnation && look.activity != Activity::Down {
-            self.order(view, order(Verb::Reboot, hold));
+        if status.incarnation == outage.incarnation && status.activity != Activity::Down {
+            self.order(view, order(OrderKind::Reboot, outage));
         }
     }
 }
 
 /// Whether a commit would be refused: the wave is paused or past, the move is not wanted any
 /// more, or losses fill the budget.
-fn is_pointless(
+fn is_obsolete(
     view: &View<'_>,
-    hold: &Outage,
+    outage: &Outage,
     purpose: &Purpose,
     budgets: &Map<PoolId, Budget>,
 ) -> bool {
@@ -133,21 +134,21 @@
     if let Purpose::Move { from, to } = purpose {
         let wanted = disruptions.wanted_moves().iter();
         let mut same = wanted.filter(|w| w.from == *from && w.to == *to);
-        if !same.any(|w| w.instance == hold.instance) {
+        if !same.any(|w| w.instance == outage.instance) {
             return true;
         }
     }
     let config = view.state.config();
-    let instance = config.instances.get(&hold.instance);
+    let instance = config.instances.get(&outage.instance);
     let budget = instance.and_then(|i| budgets.get(&i.pool));
     budget.is_some_and(|b| b.excess(0).is_some())
 }
 
-fn order(verb: Verb, hold: &Outage) -> Order {
+fn order(kind: OrderKind, outage: &Outage) -> Order {
     Order {
-        verb,
-        instance: hold.instance.clone(),
-        incarnation: hold.incarnation,
-        fence: hold.fence,
+        kind,
+        instance: outage.instance.clone(),
+        incarnation: outage.incarnation,
+        fence: outage.fence,
     }
 }
--- a/crates/maintenance/src/reasons.rs
+++ b/crates/maintenance/src/reasons.rs
@@ -5,37 +5,37 @@
 
 use cactuswheel_model::{InstanceId, Map, OperatorId, PoolId};
 
-use crate::starts::remaining;
+use crate::starts::pending_instances;
 use crate::{Driver, View};
 
 /// One reason why outages of a wave do not start.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reason {
+pub enum WaitReason {
     /// An operator paused it.
     Paused(Option<OperatorId>),
     /// The platform has not answered for this long.
-    PlatformSilent(Duration),
+    PlatformUnavailable(Duration),
     /// So many instances are lost; it goes on below the second number.
-    Losses(usize, usize),
+    TooManyLosses(usize, usize),
     /// These did not come back from their reboot.
-    Failures(Vec<InstanceId>),
+    TooManyOverdue(Vec<InstanceId>),
     /// One instance did not come back; it holds its pool's budget.
     Overdue(InstanceId),
     /// A pool's budget is used up: the numbers, and how many instances wait.
-    Budget(String, usize),
+    BudgetExhausted(String, usize),
     /// So many instances are postponed since their work ran too long.
     Postponed(usize),
 }
 
 impl Driver {
     /// Everything that the newest wave waits for.
-    pub fn reasons(&self, view: &View<'_>) -> Vec<Reason> {
+    pub fn wait_reasons(&self, view: &View<'_>) -> Vec<WaitReason> {
         let Some(wave) = view.state.disruptions().wave() else {
             return Vec::new();
         };
-        let mut reasons: Vec<_> = self.wait_reason(view).into_iter().collect();
-        reasons.extend(self.overdue.iter().cloned().map(Reason::Overdue));
-        let left = remaining(view, wave);
+        let mut reasons: Vec<_> = self.wave_blocker(view).into_iter().collect();
+        reasons.extend(self.overdue.iter().cloned().map(WaitReason::Overdue));
+        let pending = pending_instances(view, wave);
         let disruptions = view.state.disruptions();
         let mut budgets: Vec<_> = disruptions
             .budgets(view.state.config())
@@ -44,40 +44,40 @@
             .collect();
         budgets.sort_by(|a, b| a.0.cmp(&b.0));
         let mut waiting: Map<&PoolId, usize> = Map::default();
-        for instance in &left {
+        for instance in &pending {
             *waiting.entry(&instance.pool).or_default() += 1;
         }
         for (pool, budget) in budgets {
             if let Some(count) = waiting.get(&pool) {
-                reasons.push(Reason::Budget(budget.describe(&pool), *count));
+                reasons.push(WaitReason::BudgetExhausted(budget.describe(&pool), *count));
             }
         }
-        let late = left
+        let postponed = pending
             .iter()
             .filter(|i| disruptions.deferred(&i.id).is_some())
             .count();
-        if late > 0 {
-            reasons.push(Reason::Postponed(late));
+        if postponed > 0 {
+            reasons.push(WaitReason::Postponed(postponed));
         }
         reasons
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for WaitReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Paused(Some(who)) => write!(f, "paused by {who}"),
             Self::Paused(None) => f.write_str("paused"),
-            Self::PlatformSilent(age) => {
+            Self::PlatformUnavailable(age) => {
                 write!(f, "platform has not answered for {} s", age.as_secs())
             }
-            Self::Losses(lost, most) => {
-                write!(f, "{lost} instances lost, goes on below {most}")
+            Self::TooManyLosses(lost, limit) => {
+                write!(f, "{lost} instances lost, goes on below {limit}")
             }
-            Self::Failures(ids) => write!(f, "{} reboots did not come back", ids.len()),
+            Self::TooManyOverdue(ids) => write!(f, "{} reboots did not come back", ids.len()),
             Self::Overdue(id) => write!(f, "{id} is not back from its reboot"),
-            Self::Budget(numbers, waiting) => write!(f, "{waiting} wait: {numbers}"),
-            Self::Postponed(late) => write!(f, "{late} postponed: their work ran too long"),
+            Self::BudgetExhausted(numbers, waiting) => write!(f, "{waiting} wait: {numbers}"),
+            Self::Postponed(count) => write!(f, "{count} postponed: their work ran too long"),
         }
     }
 }
--- a/crates/maintenance/src/rollout.rs
+++ b/crates/maintenance/src/rollout.rs
@@ -8,15 +8,15 @@
 /// other, each as long as `outage`.
 ///
 /// `None` if a pool's budget allows no outage at all.
-pub fn rollout_bound(state: &State, outage: Duration) -> Option<Duration> {
+pub fn min_wave_duration(state: &State, outage: Duration) -> Option<Duration> {
     let budgets = state.disruptions().budgets(state.config());
     let mut longest = Duration::ZERO;
     for budget in budgets.values() {
-        let at_once = budget.allowed().min(budget.members);
-        if at_once == 0 {
+        let parallel = budget.allowed().min(budget.members);
+        if parallel == 0 {
             return None;
         }
-        longest = longest.max(outage * budget.members.div_ceil(at_once));
+        longest = longest.max(outage * budget.members.div_ceil(parallel));
     }
     Some(longest)
 }
--- a/crates/maintenance/src/starts.rs
+++ b/crates/maintenance/src/starts.rs
@@ -3,49 +3,49 @@
 use cactuswheel_fleet::{Budget, Stage};
 use cactuswheel_model::{Disruption, Instance, Map, Offset, PoolId, Purpose, Wave, WaveNo};
 
-use crate::driver::{Mark, Step};
-use crate::{Action, Driver, Reason, View};
+use crate::driver::{Condition, Step};
+use crate::{Action, Driver, View, WaitReason};
 
 impl Driver {
     /// Takes as many instances as budgets allow: wanted moves first, then the wave.
-    pub(crate) fn start(&mut self, view: &View<'_>) {
+    pub(crate) fn start_outages(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
         let wave = disruptions.wave();
-        let left = wave.map(|w| remaining(view, w)).unwrap_or_default();
+        let left = wave.map(|w| pending_instances(view, w)).unwrap_or_default();
         if left.is_empty() && disruptions.wanted_moves().is_empty() {
-            return wave.map_or((), |wave| self.start_next(view, wave));
+            return wave.map_or((), |wave| self.start_next_wave(view, wave));
         }
-        let mut room = Room {
+        let mut headroom = Headroom {
             budgets: disruptions.budgets(view.state.config()),
-            left: self.settings.parallel.saturating_sub(planned(view)),
+            outages_left: self.settings.parallel.saturating_sub(count_planned(view)),
         };
-        self.start_moves(view, &mut room);
-        if let Some(wave) = wave.filter(|_| self.wait_reason(view).is_none()) {
-            self.start_reboots(view, wave.number, left, &mut room);
+        self.start_moves(view, &mut headroom);
+        if let Some(wave) = wave.filter(|_| self.wave_blocker(view).is_none()) {
+            self.start_reboots(view, wave.number, left, &mut headroom);
         }
     }
 
     /// Takes instances for wanted moves, in the order of the list.
     ///
     /// Losses do not hold moves up: moves may be what mends them. The fold judges each again.
-    fn start_moves(&mut self, view: &View<'_>, room: &mut Room) {
+    fn start_moves(&mut self, view: &View<'_>, headroom: &mut Headroom) {
         let (state, config) = (view.state, view.state.config());
-        for wish in state.disruptions().wanted_moves() {
-            let Some(instance) = config.instances.get(&wish.instance) else {
+        for wanted in state.disruptions().wanted_moves() {
+            let Some(instance) = config.instances.get(&wanted.instance) else {
                 continue;
             };
             let disruptions = state.disruptions();
-            let held = disruptions.outage(&wish.instance).is_some();
-            let leaves = disruptions.check_leaving(&wish.instance, &wish.from, config);
-            if held || leaves.is_err() || self.is_postponed(view, instance) {
+            let in_outage = disruptions.outage(&wanted.instance).is_some();
+            let leaves = disruptions.check_leaving(&wanted.instance, &wanted.from, config);
+            if in_outage || leaves.is_err() || self.is_postponed(view, instance) {
                 continue;
             }
-            if room.take(&instance.pool) {
+            if headroom.reserve(&instance.pool) {
                 let purpose = Purpose::Move {
-                    from: wish.from.clone(),
-                    to: wish.to.clone(),
+                    from: wanted.from.clone(),
+                    to: wanted.to.clone(),
                 };
-                self.take(view, instance, purpose);
+                self.propose_outage(view, instance, purpose);
             }
         }
     }
@@ -60,34 +60,34 @@
         view: &View<'a>,
         wave: WaveNo,
         left: Vec<&'a Instance>,
-        room: &mut Room,
+        headroom: &mut Headroom,
     ) {
-        for instance in in_order(view, left, |pool| room.has(pool)) {
-            if !self.is_postponed(view, instance) && room.take(&instance.pool) {
-                self.take(view, instance, Purpose::Reboot(wave));
+        for instance in sort_for_wave(view, left, |pool| headroom.allows(pool)) {
+            if !self.is_postponed(view, instance) && headroom.reserve(&instance.pool) {
+                self.propose_outage(view, instance, Purpose::Reboot(wave));
             }
         }
     }
 
     /// Why nothing of the wave starts just now, whatever the pool.
-    pub(crate) fn wait_reason(&self, view: &View<'_>) -> Option<Reason> {
+    pub(crate) fn wave_blocker(&self, view: &View<'_>) -> Option<WaitReason> {
         let disruptions = view.state.disruptions();
         let wave = disruptions.wave()?;
         if wave.paused {
-            return Some(Reason::Paused(wave.author.clone()));
+            return Some(WaitReason::Paused(wave.author.clone()));
         }
-        if view.age > self.settings.fresh {
-            return Some(Reason::PlatformSilent(view.age));
+        if view.staleness > self.settings.max_staleness {
+            return Some(WaitReason::PlatformUnavailable(view.staleness));
         }
-        let lost = disruptions.outages().filter(|h| h.stage == Stage::Lost);
+        let lost = disruptions.outages().filter(|o| o.stage == Stage::Lost);
         let lost = lost.count();
-        let most = view.state.config().instances.len() * self.settings.burst / 1_000;
-        let most = most.max(4);
-        if lost >= most {
-            return Some(Reason::Losses(lost, most));
+        let limit = view.state.config().instances.len() * self.settings.loss_permille / 1_000;
+        let limit = limit.max(4);
+        if lost >= limit {
+            return Some(WaitReason::TooManyLosses(lost, limit));
         }
-        if self.overdue.len() >= self.settings.failures {
-            return Some(Reason::Failures(self.overdue.clone()));
+        if self.overdue.len() >= self.settings.overdue_limit {
+            return Some(WaitReason::TooManyOverdue(self.overdue.clone()));
         }
         None
     }
@@ -96,12 +96,12 @@
         let Some(offset) = view.state.disruptions().deferred(&instance.id) else {
             return false;
         };
-        let waited = self.held(view, &instance.id, Mark::Postponed(offset));
-        waited < self.settings.postpone
+        let waited = self.held_for(view, &instance.id, Condition::Postponed(offset));
+        waited < self.settings.postpone_time
     }
 
-    fn take(&mut self, view: &View<'_>, instance: &Instance, purpose: Purpose) {
-        let Some(seen) = view.seen.get(&instance.id).filter(|s| s.live) else {
+    fn propose_outage(&mut self, view: &View<'_>, instance: &Instance, purpose: Purpose) {
+        let Some(seen) = view.roster.get(&instance.id).filter(|s| s.live) else {
             return;
         };
         let take = Disruption::Take {
@@ -113,49 +113,51 @@
         self.propose(view, Offset::default(), Step::Take, take);
     }
 
-    fn start_next(&mut self, view: &View<'_>, wave: &Wave) {
-        let due = wave.began.saturating_add(self.settings.cycle.as_secs());
-        if wave.paused || wave.began == 0 || view.wall < due {
+    fn start_next_wave(&mut self, view: &View<'_>, wave: &Wave) {
+        let due = wave
+            .began
+            .saturating_add(self.settings.wave_interval.as_secs());
+        if wave.paused || wave.began == 0 || view.unix_time < due {
             return;
         }
-        self.actions.push(Action::Start(Wave {
+        self.actions.push(Action::StartWave(Wave {
             number: WaveNo::new(wave.number.get() + 1),
             paused: false,
             order: wave.order.clone(),
             author: None,
-            began: view.wall,
+            began: view.unix_time,
         }));
     }
 }
 
 /// What is left for more outages.
-struct Room {
+struct Headroom {
     budgets: Map<PoolId, Budget>,
     /// Outages that may still start, over all pools.
-    left: usize,
+    outages_left: usize,
 }
 
-impl Room {
-    fn has(&self, pool: &PoolId) -> bool {
-        self.left > 0 && self.budgets.get(pool).is_some_and(Budget::has_room)
+impl Headroom {
+    fn allows(&self, pool: &PoolId) -> bool {
+        self.outages_left > 0 && self.budgets.get(pool).is_some_and(Budget::has_room)
     }
 
     /// Takes one from a pool's budget if there is room.
-    fn take(&mut self, pool: &PoolId) -> bool {
-        if !self.has(pool) {
+    fn reserve(&mut self, pool: &PoolId) -> bool {
+        if !self.allows(pool) {
             return false;
         }
         let Some(budget) = self.budgets.get_mut(pool) else {
             return false;
         };
         budget.down += 1;
-        self.left -= 1;
+        self.outages_left -= 1;
         true
     }
 }
 
 /// Instances that have not had their turn and are not held.
-pub(crate) fn remaining<'a>(view: &View<'a>, wave: &Wave) -> Vec<&'a Instance> {
+pub(crate) fn pending_instances<'a>(view: &View<'a>, wave: &Wave) -> Vec<&'a Instance> {
     let disruptions = view.state.disruptions();
     let instances = view.state.config().instances.values().map(|i| &**i);
     instances
@@ -167,7 +169,7 @@
 /// Those of the pools that have room, in the order of the wave.
 ///
 /// Most pools have none at most steps, and sorting costs more than all else.
-fn in_order<'a>(
+fn sort_for_wave<'a>(
     view: &View<'a>,
     left: Vec<&'a Instance>,
     has_room: impl Fn(&PoolId) -> bool,
@@ -177,15 +179,15 @@
     let place = |i: &Instance| order.iter().position(|dc| *dc == i.dc);
     let mut left: Vec<_> = left.into_iter().filter(|i| has_room(&i.pool)).collect();
     left.sort_by_cached_key(|i| {
-        let late = disruptions.deferred(&i.id).is_some();
+        let postponed = disruptions.deferred(&i.id).is_some();
         let place = place(i).unwrap_or(usize::MAX);
-        (late, place, i.dc.clone(), i.rack.clone(), i.id.clone())
+        (postponed, place, i.dc.clone(), i.rack.clone(), i.id.clone())
     });
     left
 }
 
-fn planned(view: &View<'_>) -> usize {
-    let holds = view.state.disruptions().outages();
-    let planned = holds.filter(|h| matches!(h.stage, Stage::Draining(_) | Stage::Rebooting(_)));
+fn count_planned(view: &View<'_>) -> usize {
+    let active = view.state.disruptions().outages();
+    let planned = active.filter(|o| matches!(o.stage, Stage::Draining(_) | Stage::Rebooting(_)));
     planned.count()
 }
--- a/crates/maintenance/src/timers.rs
+++ b/crates/maintenance/src/timers.rs
@@ -10,58 +10,58 @@
 /// A condition that is not named between two sweeps has broken.
 #[derive(Debug)]
 pub(crate) struct Timers<K> {
-    since: Map<K, Mark>,
+    timers: Map<K, Timer>,
 }
 
 #[derive(Debug)]
-struct Mark {
-    began: Time,
+struct Timer {
+    started: Time,
     /// When the thing waited for was last done.
-    done: Option<Time>,
-    named: bool,
+    last_fired: Option<Time>,
+    touched: bool,
 }
 
 impl<K> Default for Timers<K> {
     fn default() -> Self {
         Self {
-            since: Map::default(),
+            timers: Map::default(),
         }
     }
 }
 
 impl<K: Hash + Eq> Timers<K> {
     /// Names a condition; the time for which it has held.
-    pub(crate) fn held(&mut self, key: K, now: Time) -> Duration {
-        now.since(self.mark(key, now).began)
+    pub(crate) fn elapsed(&mut self, key: K, now: Time) -> Duration {
+        now.since(self.touch(key, now).started)
     }
 
     /// Names a condition; whether something is due that is done once it held for `patience`
     /// and repeated every `retry`.
-    pub(crate) fn due(&mut self, key: K, now: Time, patience: Duration, retry: Duration) -> bool {
-        let mark = self.mark(key, now);
-        let due = match mark.done {
-            None => now.since(mark.began) >= patience,
+    pub(crate) fn due(&mut self, key: K, now: Time, delay: Duration, retry: Duration) -> bool {
+        let timer = self.touch(key, now);
+        let due = match timer.last_fired {
+            None => now.since(timer.started) >= delay,
             Some(last) => now.since(last) >= retry,
         };
         if due {
-            mark.done = Some(now);
+            timer.last_fired = Some(now);
         }
         due
     }
 
     /// Forgets conditions not named since the last sweep.
     pub(crate) fn sweep(&mut self) {
-        self.since
-            .retain(|_, mark| std::mem::replace(&mut mark.named, false));
+        self.timers
+            .retain(|_, timer| std::mem::replace(&mut timer.touched, false));
     }
 
-    fn mark(&mut self, key: K, now: Time) -> &mut Mark {
-        let mark = self.since.entry(key).or_insert(Mark {
-            began: now,
-            done: None,
-            named: true,
+    fn touch(&mut self, key: K, now: Time) -> &mut Timer {
+        let timer = self.timers.entry(key).or_insert(Timer {
+            started: now,
+            last_fired: None,
+            touched: true,
         });
-        mark.named = true;
-        mark
+        timer.touched = true;
+        timer
     }
 }
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -11,7 +11,7 @@
     /// The moment, on this entry's own clock.
     pub now: Time,
     /// Seconds since 1970; only for the start of the next wave.
-    pub wall: u64,
+    pub unix_time: u64,
     /// This entry.
     pub entry: &'a EntryId,
     /// Entries in contact that come before this one; 0 for the first.
@@ -19,16 +19,16 @@
     /// The fold.
     pub state: &'a State,
     /// Time since the log and the roster last answered, the older of both.
-    pub age: Duration,
+    pub staleness: Duration,
     /// The roster.
-    pub seen: &'a Map<InstanceId, Seen>,
-    /// Worker control's word on the instances of [`Driver::watched`](crate::Driver::watched).
-    pub looks: &'a Map<InstanceId, Look>,
+    pub roster: &'a Map<InstanceId, RosterStatus>,
+    /// Worker control's word on the instances of [`Driver::instances_to_poll`](crate::Driver::instances_to_poll).
+    pub statuses: &'a Map<InstanceId, WorkerStatus>,
 }
 
 /// What the roster says of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct RosterStatus {
     /// Its life.
     pub incarnation: Incarnation,
     /// Whether it takes work; otherwise it is leaving.
@@ -37,7 +37,7 @@
 
 /// What worker control says of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Look {
+pub struct WorkerStatus {
     /// Its life.
     pub incarnation: Incarnation,
     /// What it does.
