--- a/crates/maintenance/src/action.rs
+++ b/crates/maintenance/src/action.rs
@@ -1,38 +1,38 @@
-//! What a driver asks for.
+//! Actions that a driver returns to its caller.
 
 use cactuswheel_model::{Disruption, Incarnation, InstanceId, Offset, Wave};
 
-/// Something for the edge to do; every one may be repeated.
+/// An action for the caller to carry out. Every action is safe to repeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Append a step of an outage to the log.
+    /// Append a state change of an outage to the log.
     Propose(Disruption),
     /// Append the start of a wave to the log.
     StartWave(Wave),
-    /// Give an order to worker control.
+    /// Send an order to worker control, the platform service that manages workers.
     Order(Order),
 }
 
-/// An order to worker control.
+/// An order to worker control about one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// What to do.
+    /// The operation.
     pub kind: OrderKind,
-    /// The instance.
+    /// The instance that the order applies to.
     pub instance: InstanceId,
-    /// The life that it is for.
+    /// The incarnation of the instance that the order applies to.
     pub incarnation: Incarnation,
-    /// The grant that allows it.
+    /// Fencing token: the log offset of the outage grant that allows the order.
     pub fence: Offset,
 }
 
-/// What worker control is to do.
+/// The operation that worker control performs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OrderKind {
-    /// Keep new work away.
+    /// Stop sending new work to the instance.
     Drain,
-    /// Take work again.
+    /// End the drain, so that the instance receives work again.
     Resume,
-    /// Reboot.
+    /// Reboot the instance.
     Reboot,
 }
--- a/crates/maintenance/src/driver.rs
+++ b/crates/maintenance/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver's loop.
+//! The maintenance driver and its control loop.
 
 use std::time::Duration;
 
@@ -8,42 +8,45 @@
 use crate::timers::Timers;
 use crate::{Action, Order, OrderKind, Settings, View};
 
-/// Carries outages through. Holds nothing that another entry's driver needs.
+/// Starts outages and takes them through their stages.
+///
+/// Holds local state only; the driver of any other entry can take over at any time.
 #[derive(Debug)]
 pub struct Driver {
     pub(crate) settings: Settings,
     pub(crate) timers: Timers<(InstanceId, Condition)>,
-    /// Instances whose grant ended and whose drain may still have to be lifted.
+    /// Instances whose outage has ended and that may still need a resume order.
     pending_resume: Set<InstanceId>,
-    /// Instances held when last looked at.
+    /// Instances that had an outage at the previous step.
     in_outage: Set<InstanceId>,
-    /// Steps so far; walks over all instances to find drains that nobody remembers.
+    /// Number of steps so far; selects one more instance to poll per step, in turn, so that
+    /// drains without an outage are found.
     step_count: usize,
-    /// Instances that have not come back for long.
+    /// Instances whose reboot has taken longer than `overdue_timeout`.
     pub(crate) overdue: Vec<InstanceId>,
     pub(crate) actions: Vec<Action>,
 }
 
-/// A condition that the driver times.
+/// A condition whose duration the driver tracks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Condition {
-    /// The instance is not in the roster, or leaves it without a plan.
+    /// The instance is absent from the roster or listed as leaving, without a committed outage.
     Missing,
-    /// It looks healthy after the outage named.
+    /// The instance is live and serving after the outage with this fencing token.
     Healthy(Offset),
-    /// Nothing runs on it.
+    /// The instance is draining under this fencing token and runs no work.
     Idle(Offset),
-    /// The outage is at this stage.
+    /// The outage with this fencing token is in the draining stage.
     Draining(Offset),
-    /// It has not come back.
+    /// The outage with this fencing token is in the rebooting stage.
     Rebooting(Offset),
-    /// It is postponed by this record.
+    /// The record at this offset has postponed the instance.
     Postponed(Offset),
-    /// A step is wanted.
+    /// This step of the outage with this fencing token is due.
     Pending(Offset, Step),
 }
 
-/// Kinds of steps, to tell wishes apart.
+/// Kind of a proposed record or order; each kind has its own retry timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Step {
     Take,
@@ -55,7 +58,7 @@
 }
 
 impl Driver {
-    /// A driver that has seen nothing yet.
+    /// Creates a driver without any tracked state.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -68,7 +71,10 @@
         }
     }
 
-    /// Instances that worker control is to be asked about before the next step.
+    /// Instances whose status the caller should query from worker control before the next step.
+    ///
+    /// These are the instances with an outage, those that may need a resume order, and one other
+    /// instance per step, in turn.
     pub fn instances_to_poll(&self, state: &cactuswheel_fleet::State) -> Vec<InstanceId> {
         let mut watched: Vec<_> = self.pending_resume.iter().cloned().collect();
         let active = state.disruptions().outages();
@@ -79,15 +85,16 @@
         watched
     }
 
-    /// Looks at the world and says what to do.
+    /// Runs one pass of the control loop and returns the actions to carry out.
     ///
-    /// Nothing comes out while the platform's word is old: the fold may have moved on, and
-    /// neither a record nor an order could be confirmed.
+    /// Returns no actions while the platform data is stale: the log may hold newer records that
+    /// this entry has not read, and neither a record nor an order could be confirmed.
     pub fn step(&mut self, view: &View<'_>) -> Vec<Action> {
         self.track_ended_outages(view);
         self.step_count += 1;
         if view.staleness > self.settings.max_staleness {
-            // Timers break: what was seen before an outage of the platform proves nothing.
+            // Resets all timers: after the platform was unreachable, conditions observed before
+            // may not have held without interruption.
             self.timers.sweep();
             return Vec::new();
         }
@@ -99,15 +106,15 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Asks for a record once it was wanted for long enough that entries before this one in
-    /// rank had their chance.
+    /// Proposes a record once it has been due for `stagger` times this entry's rank, so that
+    /// entries of lower rank propose it first.
     pub(crate) fn propose(&mut self, view: &View<'_>, fence: Offset, step: Step, d: Disruption) {
         if self.due(view, d.instance().clone(), fence, step) {
             self.actions.push(Action::Propose(d));
         }
     }
 
-    /// Gives an order, as [`propose`](Self::propose) does.
+    /// Sends an order, with the same delay and retries as [`propose`](Self::propose).
     pub(crate) fn order(&mut self, view: &View<'_>, order: Order) {
         let step = Step::Order(order.kind);
         if self.due(view, order.instance.clone(), order.fence, step) {
@@ -122,7 +129,7 @@
             .due(key, view.now, delay, self.settings.retry_interval)
     }
 
-    /// Names a condition that holds now and tells for how long it has.
+    /// Marks a condition as true now and returns how long it has held without interruption.
     pub(crate) fn held_for(
         &mut self,
         view: &View<'_>,
@@ -142,11 +149,12 @@
         self.in_outage = disruptions.outages().map(|o| o.instance.clone()).collect();
     }
 
-    /// Lifts drains that no grant stands behind any more.
+    /// Resumes instances that are draining without an outage that requires it.
     ///
-    /// Failure: the driver that cancelled a grant is replaced before it resumed the worker;
-    /// symptom: a healthy instance that gets no work. Every driver that saw the grant looks
-    /// after it, and all look at one instance after the other for drains sent late.
+    /// A driver may cancel an outage and be replaced before it resumes the worker; without this
+    /// pass, the healthy instance would receive no work. Every driver that saw the outage polls
+    /// the instance until the drain has ended, and all drivers poll the remaining instances in
+    /// turn to find drain orders that took effect late.
     fn end_stale_drains(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
         for (id, status) in view.statuses {
@@ -155,8 +163,9 @@
                 let needed = current.is_some_and(|o| {
                     o.fence >= fence && matches!(o.stage, Stage::Draining(_) | Stage::Rebooting(_))
                 });
-                // A fold that lags has not read the grant yet. To end it then would leave a
-                // committed reboot that worker control refuses for ever.
+                // If this entry's state lags behind the log, it has not read the grant yet.
+                // Resuming the instance would revoke that fencing token, and worker control would
+                // then reject the reboot forever once it is committed.
                 let known = fence < view.state.next();
                 if known && !needed {
                     let order = Order {
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,9 +1,11 @@
-//! Maintenance: carries outages of instances through, wave by wave, and reports losses.
+//! Maintenance: reboots instances wave by wave, moves them between pools, and reports unplanned
+//! losses.
 //!
-//! Every entry runs the same [`Driver`]; none is set aside. A driver looks at the fold and at
-//! what the platform says of instances, and asks for records and orders. Which record holds is
-//! for the fold alone, so any number of drivers may run, late ones and paused ones too. This
-//! crate reads no clock and does no I/O.
+//! Every entry node runs the same [`Driver`]; there is no leader. A driver compares the
+//! replicated state with what the platform reports about instances, and proposes log records
+//! and orders. Only the replicated state decides which records are valid when it applies them,
+//! so any number of drivers may run at once, including delayed and paused ones. This crate
+//! reads no clock and does no I/O.
 
 mod action;
 mod driver;
--- a/crates/maintenance/src/losses.rs
+++ b/crates/maintenance/src/losses.rs
@@ -1,4 +1,4 @@
-//! Reporting unplanned losses.
+//! Reports unplanned losses of instances.
 
 use cactuswheel_fleet::Stage;
 use cactuswheel_model::{Disruption, Instance, Offset};
@@ -7,7 +7,8 @@
 use crate::{Driver, View};
 
 impl Driver {
-    /// Reports instances that are gone without a plan.
+    /// Proposes a loss record for each instance that has been missing for `loss_timeout` without a
+    /// committed outage.
     pub(crate) fn report_losses(&mut self, view: &View<'_>) {
         for instance in view.state.config().instances.values() {
             if self.is_lost(view, instance) {
--- a/crates/maintenance/src/outages.rs
+++ b/crates/maintenance/src/outages.rs
@@ -1,4 +1,4 @@
-//! Carrying outages that are under way to their end.
+//! Advances active outages through their stages until they end.
 
 use cactuswheel_fleet::{Budget, Outage, Stage};
 use cactuswheel_model::{Disruption, Map, PoolId, Purpose};
@@ -7,7 +7,7 @@
 use crate::{Activity, Driver, Order, OrderKind, View};
 
 impl Driver {
-    /// Does the next thing for every outage.
+    /// Proposes the next record or order for each active outage.
     pub(crate) fn advance_outages(&mut self, view: &View<'_>) {
         self.overdue.clear();
         let disruptions = view.state.disruptions();
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Whether an instance has looked healthy for long enough.
+    /// Whether the instance has been live and serving for `settle_time`, after a planned reboot in
+    /// a newer incarnation.
     fn has_recovered(&mut self, view: &View<'_>, outage: &Outage) -> bool {
         let Some(seen) = view.roster.get(&outage.instance) else {
             return false;
@@ -73,7 +74,8 @@
         if status.activity != Activity::Draining(outage.fence) {
             self.order(view, order(OrderKind::Drain, outage));
         }
-        // What worker control does not show yet, the log does: jobs that are placed.
+        // Worker control does not report a job that has been placed but has not started yet; the
+        // log records it.
         let jobs = view.state.jobs().worker(&outage.instance);
         let idle = status.running == Some(0)
             && status.activity == Activity::Draining(outage.fence)
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Orders a reboot that is committed in the newest fold, bound to the life of the grant.
+    /// Orders the reboot of a committed outage, for the incarnation that the grant names only.
     fn advance_reboot(&mut self, view: &View<'_>, outage: &Outage) {
         let away = self.held_for(view, &outage.instance, Condition::Rebooting(outage.fence));
         if away >= self.settings.overdue_timeout {
@@ -114,8 +116,8 @@
     }
 }
 
-/// Whether a commit would be refused: the wave is paused or past, the move is not wanted any
-/// more, or losses fill the budget.
+/// Whether a commit would be rejected: the wave is paused or superseded, the move is no longer
+/// wanted, or unplanned losses have used up the pool's budget.
 fn is_obsolete(
     view: &View<'_>,
     outage: &Outage,
--- a/crates/maintenance/src/reasons.rs
+++ b/crates/maintenance/src/reasons.rs
@@ -1,4 +1,4 @@
-//! Why a wave waits.
+//! Reasons why a wave does not start more outages.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,27 +8,30 @@
 use crate::starts::pending_instances;
 use crate::{Driver, View};
 
-/// One reason why outages of a wave do not start.
+/// A reason why outages of a wave do not start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitReason {
-    /// An operator paused it.
+    /// The wave is paused, by the named operator if known.
     Paused(Option<OperatorId>),
     /// The platform has not answered for this long.
     PlatformUnavailable(Duration),
-    /// So many instances are lost; it goes on below the second number.
+    /// Too many instances are lost: the number lost, and the number below which the wave
+    /// continues.
     TooManyLosses(usize, usize),
-    /// These did not come back from their reboot.
+    /// Too many instances are overdue from their reboot; lists all of them.
     TooManyOverdue(Vec<InstanceId>),
-    /// One instance did not come back; it holds its pool's budget.
+    /// This instance is overdue from its reboot and still counts against its pool's budget.
     Overdue(InstanceId),
-    /// A pool's budget is used up: the numbers, and how many instances wait.
+    /// The budget of a pool is used up: a description of the budget, and the number of instances
+    /// that wait for it.
     BudgetExhausted(String, usize),
-    /// So many instances are postponed since their work ran too long.
+    /// Number of instances that are postponed because their work did not end within the drain
+    /// timeout.
     Postponed(usize),
 }
 
 impl Driver {
-    /// Everything that the newest wave waits for.
+    /// All reasons why the newest wave does not start more outages.
     pub fn wait_reasons(&self, view: &View<'_>) -> Vec<WaitReason> {
         let Some(wave) = view.state.disruptions().wave() else {
             return Vec::new();
--- a/crates/maintenance/src/rollout.rs
+++ b/crates/maintenance/src/rollout.rs
@@ -1,13 +1,13 @@
-//! The shortest time that a wave can take.
+//! Lower bound on the duration of a wave.
 
 use std::time::Duration;
 
 use cactuswheel_fleet::State;
 
-/// Lower bound of a wave's time: no pool can go faster than its budget, one outage after the
-/// other, each as long as `outage`.
+/// Lower bound on the duration of a wave in which each outage takes `outage`.
 ///
-/// `None` if a pool's budget allows no outage at all.
+/// Each pool can have only as many instances down at once as its budget allows; the slowest pool
+/// determines the bound. Returns `None` if the budget of any pool allows no outage at all.
 pub fn min_wave_duration(state: &State, outage: Duration) -> Option<Duration> {
     let budgets = state.disruptions().budgets(state.config());
     let mut longest = Duration::ZERO;
--- a/crates/maintenance/src/settings.rs
+++ b/crates/maintenance/src/settings.rs
@@ -1,50 +1,53 @@
-//! Settings of the driver.
+//! Settings of the maintenance driver.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// Times and bounds of maintenance. Times are in milliseconds in a settings file,
-/// under names that end in `_ms`.
+/// Timeouts and limits of maintenance. A settings file holds durations in milliseconds, under
+/// names that end in `_ms`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Absence after which an instance counts as lost; longer than the roster lags.
+    /// Time without a live roster entry after which an instance counts as lost; must exceed the
+    /// lag of the roster.
     #[serde(rename = "loss_ms", with = "millis")]
     pub loss_timeout: Duration,
-    /// Time for which an instance has to look healthy to be back.
+    /// Time for which an instance must be live and serving before its outage ends.
     #[serde(rename = "settle_ms", with = "millis")]
     pub settle_time: Duration,
-    /// Time without running work after which a drain is done.
+    /// Time without running work after which a drain is complete.
     #[serde(rename = "quiet_ms", with = "millis")]
     pub idle_time: Duration,
-    /// Longest drain; with work still running after it the instance is postponed.
+    /// Maximum duration of a drain; an instance that still runs work after it is postponed.
     #[serde(rename = "drain_ms", with = "millis")]
     pub drain_timeout: Duration,
-    /// Time until a postponed instance is tried again.
+    /// Delay before a postponed instance is retried.
     #[serde(rename = "postpone_ms", with = "millis")]
     pub postpone_time: Duration,
-    /// Time after which an instance that is not back is reported.
+    /// Time in the rebooting stage after which an instance is reported as overdue.
     #[serde(rename = "overdue_ms", with = "millis")]
     pub overdue_timeout: Duration,
-    /// Age of the newest word from the platform beyond which nothing starts.
+    /// Maximum age of the platform data; the driver takes no action on older data.
     #[serde(rename = "fresh_ms", with = "millis")]
     pub max_staleness: Duration,
-    /// Time after which a step that shows no effect is asked for again.
+    /// Interval at which a record or order without visible effect is repeated.
     #[serde(rename = "retry_ms", with = "millis")]
     pub retry_interval: Duration,
-    /// Head start of each entry over the next in rank.
+    /// Delay per rank before an entry acts, so that entries of lower rank act first.
     #[serde(rename = "stagger_ms", with = "millis")]
     pub stagger: Duration,
-    /// Time between the starts of two waves.
+    /// Interval between the starts of two consecutive waves.
     #[serde(rename = "cycle_ms", with = "millis")]
     pub wave_interval: Duration,
-    /// Most planned outages at once, over all pools; by default budgets alone bound them.
+    /// Maximum number of concurrent planned outages, over all pools. The default is so high that
+    /// only budgets limit them.
     pub parallel: usize,
-    /// Losses at once, in instances per thousand, from which on a wave waits; at least 4.
+    /// Number of concurrent losses, per thousand instances, at which a wave stops starting
+    /// outages. The resulting limit is never below 4 instances.
     #[serde(rename = "burst")]
     pub loss_permille: usize,
-    /// Overdue instances at once from which on a wave waits.
+    /// Number of concurrently overdue instances at which a wave stops starting outages.
     #[serde(rename = "failures")]
     pub overdue_limit: usize,
 }
--- a/crates/maintenance/src/starts.rs
+++ b/crates/maintenance/src/starts.rs
@@ -1,4 +1,4 @@
-//! Starting new outages of a wave.
+//! Starts outages for wanted moves and for the current wave, and starts the next wave.
 
 use cactuswheel_fleet::{Budget, Stage};
 use cactuswheel_model::{Disruption, Instance, Map, Offset, PoolId, Purpose, Wave, WaveNo};
@@ -7,7 +7,7 @@
 use crate::{Action, Driver, View, WaitReason};
 
 impl Driver {
-    /// Takes as many instances as budgets allow: wanted moves first, then the wave.
+    /// Proposes as many outages as budgets allow: wanted moves first, then the wave.
     pub(crate) fn start_outages(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
         let wave = disruptions.wave();
@@ -25,9 +25,10 @@
         }
     }
 
-    /// Takes instances for wanted moves, in the order of the list.
+    /// Proposes outages for wanted moves, in list order.
     ///
-    /// Losses do not hold moves up: moves may be what mends them. The fold judges each again.
+    /// Unplanned losses do not block moves, because moves may replace the lost instances. The
+    /// replicated state checks each move again when it applies the record.
     fn start_moves(&mut self, view: &View<'_>, headroom: &mut Headroom) {
         let (state, config) = (view.state, view.state.config());
         for wanted in state.disruptions().wanted_moves() {
@@ -50,11 +51,11 @@
         }
     }
 
-    /// Takes instances for the wave, failure domain by failure domain.
+    /// Proposes outages for the wave, one failure domain after the other.
     ///
-    /// A pool goes on into the next rack while others are still in the one before: budgets
-    /// alone bound the pace, and order keeps the outages of a pool together, so that the loss
-    /// of a rack under maintenance costs few others.
+    /// A pool may proceed to the next rack while other pools are still in the previous one: only
+    /// budgets limit the pace. The order keeps the outages of a pool within few racks, so that
+    /// the loss of a rack under maintenance takes down few instances that were still serving.
     fn start_reboots<'a>(
         &mut self,
         view: &View<'a>,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Why nothing of the wave starts just now, whatever the pool.
+    /// The reason why the wave starts no outage in any pool, if there is one.
     pub(crate) fn wave_blocker(&self, view: &View<'_>) -> Option<WaitReason> {
         let disruptions = view.state.disruptions();
         let wave = disruptions.wave()?;
@@ -130,10 +131,10 @@
     }
 }
 
-/// What is left for more outages.
+/// Remaining capacity for new outages.
 struct Headroom {
     budgets: Map<PoolId, Budget>,
-    /// Outages that may still start, over all pools.
+    /// Number of outages that may still start, over all pools.
     outages_left: usize,
 }
 
@@ -142,7 +143,7 @@
         self.outages_left > 0 && self.budgets.get(pool).is_some_and(Budget::has_room)
     }
 
-    /// Takes one from a pool's budget if there is room.
+    /// Reserves one outage in the pool's budget; returns `false` if there is no headroom.
     fn reserve(&mut self, pool: &PoolId) -> bool {
         if !self.allows(pool) {
             return false;
@@ -156,7 +157,7 @@
     }
 }
 
-/// Instances that have not had their turn and are not held.
+/// Instances that this wave has not processed yet and that have no outage.
 pub(crate) fn pending_instances<'a>(view: &View<'a>, wave: &Wave) -> Vec<&'a Instance> {
     let disruptions = view.state.disruptions();
     let instances = view.state.config().instances.values().map(|i| &**i);
@@ -166,9 +167,10 @@
         .collect()
 }
 
-/// Those of the pools that have room, in the order of the wave.
+/// Instances of the pools with headroom, in the order of the wave; postponed instances last.
 ///
-/// Most pools have none at most steps, and sorting costs more than all else.
+/// Filters before sorting: at most steps, most pools have no headroom, and sorting is the most
+/// expensive part of a step.
 fn sort_for_wave<'a>(
     view: &View<'a>,
     left: Vec<&'a Instance>,
--- a/crates/maintenance/src/timers.rs
+++ b/crates/maintenance/src/timers.rs
@@ -1,13 +1,13 @@
-//! Since when a condition has held.
+//! Timers that track how long conditions have held.
 
 use std::hash::Hash;
 use std::time::Duration;
 
 use cactuswheel_model::{Map, Time};
 
-/// Remembers when each condition began to hold without a break.
+/// Tracks since when each condition has held without interruption.
 ///
-/// A condition that is not named between two sweeps has broken.
+/// A condition that is not marked between two sweeps no longer holds, and its timer is dropped.
 #[derive(Debug)]
 pub(crate) struct Timers<K> {
     timers: Map<K, Timer>,
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 struct Timer {
     started: Time,
-    /// When the thing waited for was last done.
+    /// Time when `due` last returned `true`.
     last_fired: Option<Time>,
     touched: bool,
 }
@@ -30,13 +30,13 @@
 }
 
 impl<K: Hash + Eq> Timers<K> {
-    /// Names a condition; the time for which it has held.
+    /// Marks a condition as true now and returns how long it has held.
     pub(crate) fn elapsed(&mut self, key: K, now: Time) -> Duration {
         now.since(self.touch(key, now).started)
     }
 
-    /// Names a condition; whether something is due that is done once it held for `patience`
-    /// and repeated every `retry`.
+    /// Marks a condition as true now and returns whether its action is due: first once the
+    /// condition has held for `delay`, then again every `retry`.
     pub(crate) fn due(&mut self, key: K, now: Time, delay: Duration, retry: Duration) -> bool {
         let timer = self.touch(key, now);
         let due = match timer.last_fired {
@@ -49,7 +49,7 @@
         due
     }
 
-    /// Forgets conditions not named since the last sweep.
+    /// Drops the timers of conditions that have not been marked since the last sweep.
     pub(crate) fn sweep(&mut self) {
         self.timers
             .retain(|_, timer| std::mem::replace(&mut timer.touched, false));
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -1,58 +1,59 @@
-//! What a driver looks at.
+//! Input of a driver step.
 
 use std::time::Duration;
 
 use cactuswheel_fleet::State;
 use cactuswheel_model::{EntryId, Incarnation, InstanceId, Map, Offset, Time};
 
-/// The world as one entry sees it at one moment.
+/// State of the fleet as one entry sees it at one point in time.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// The moment, on this entry's own clock.
+    /// Current time on this entry's own clock.
     pub now: Time,
-    /// Seconds since 1970; only for the start of the next wave.
+    /// Seconds since the Unix epoch; used only to start the next wave.
     pub unix_time: u64,
-    /// This entry.
+    /// Name of this entry.
     pub entry: &'a EntryId,
-    /// Entries in contact that come before this one; 0 for the first.
+    /// Number of reachable entries that come before this one in order of name; 0 for the first.
     pub rank: u32,
-    /// The fold.
+    /// The replicated state, built from the log records that this entry has read.
     pub state: &'a State,
-    /// Time since the log and the roster last answered, the older of both.
+    /// Time since the last answer of the log or of the roster, whichever is longer ago.
     pub staleness: Duration,
-    /// The roster.
+    /// The platform's roster of instances.
     pub roster: &'a Map<InstanceId, RosterStatus>,
-    /// Worker control's word on the instances of [`Driver::instances_to_poll`](crate::Driver::instances_to_poll).
+    /// Status from worker control of the instances in
+    /// [`Driver::instances_to_poll`](crate::Driver::instances_to_poll).
     pub statuses: &'a Map<InstanceId, WorkerStatus>,
 }
 
-/// What the roster says of an instance.
+/// Roster status of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RosterStatus {
-    /// Its life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Whether it takes work; otherwise it is leaving.
+    /// Whether the instance accepts work; otherwise it is leaving.
     pub live: bool,
 }
 
-/// What worker control says of an instance.
+/// Status of an instance as reported by worker control.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerStatus {
-    /// Its life.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// Activity of the instance.
     pub activity: Activity,
-    /// What runs on it, if it says.
+    /// Number of requests and jobs that run on the instance, if reported.
     pub running: Option<u32>,
 }
 
-/// What an instance does.
+/// Activity of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Activity {
-    /// It takes work.
+    /// The instance accepts work.
     Serving,
-    /// It finishes its work, on the grant named.
+    /// The instance finishes its work and accepts no more, under this fencing token.
     Draining(Offset),
-    /// It is down.
+    /// The instance is down.
     Down,
 }
