--- a/crates/maintenance/src/driver.rs
+++ b/crates/maintenance/src/driver.rs
@@ -30,7 +30,8 @@
 /// A condition whose duration the driver tracks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Condition {
-    /// The instance is absent from the roster or listed as leaving, without a committed outage.
+    /// The instance is absent from the roster or listed as leaving, and is not rebooting, not
+    /// arriving and not yet recorded as lost.
     Missing,
     /// The instance is live and serving after the outage with this fencing token.
     Healthy(Offset),
@@ -42,7 +43,7 @@
     Rebooting(Offset),
     /// The record at this offset has postponed the instance.
     Postponed(Offset),
-    /// This step of the outage with this fencing token is due.
+    /// This step is pending for the outage with this fencing token; 0 if there is no outage yet.
     Pending(Offset, Step),
 }
 
@@ -106,8 +107,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Proposes a record once it has been due for `stagger` times this entry's rank, so that
-    /// entries of lower rank propose it first.
+    /// Proposes a record once it has been pending for `stagger` times this entry's rank, so that
+    /// entries with a lower rank number propose it first.
     pub(crate) fn propose(&mut self, view: &View<'_>, fence: Offset, step: Step, d: Disruption) {
         if self.due(view, d.instance().clone(), fence, step) {
             self.actions.push(Action::Propose(d));
--- a/crates/maintenance/src/losses.rs
+++ b/crates/maintenance/src/losses.rs
@@ -7,8 +7,8 @@
 use crate::{Driver, View};
 
 impl Driver {
-    /// Proposes a loss record for each instance that has been missing for `loss_timeout` without a
-    /// committed outage.
+    /// Proposes a loss record for each instance that has been missing for `loss_timeout`, other
+    /// than those that are rebooting, arriving or already recorded as lost.
     pub(crate) fn report_losses(&mut self, view: &View<'_>) {
         for instance in view.state.config().instances.values() {
             if self.is_lost(view, instance) {
--- a/crates/maintenance/src/settings.rs
+++ b/crates/maintenance/src/settings.rs
@@ -34,7 +34,7 @@
     /// Interval at which a record or order without visible effect is repeated.
     #[serde(rename = "retry_ms", with = "millis")]
     pub retry_interval: Duration,
-    /// Delay per rank before an entry acts, so that entries of lower rank act first.
+    /// Delay per rank before an entry acts, so that entries with a lower rank number act first.
     #[serde(rename = "stagger_ms", with = "millis")]
     pub stagger: Duration,
     /// Interval between the starts of two consecutive waves.
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -43,7 +43,7 @@
     pub incarnation: Incarnation,
     /// Activity of the instance.
     pub activity: Activity,
-    /// Number of requests and jobs that run on the instance, if reported.
+    /// Number of requests and tasks that run on the instance; `None` if not reported.
     pub running: Option<u32>,
 }
 
--- a/crates/maintenance/tests/world/node.rs
+++ b/crates/maintenance/tests/world/node.rs
@@ -1,4 +1,4 @@
-//! One entry.
+//! A simulated entry.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 
 use super::{Workers, entry, settings};
 
-/// An entry's fold and driver, and its faults.
+/// A simulated entry with its replicated state, its driver and its injected faults.
 pub struct Node {
     state: State,
     driver: Driver,
     name: usize,
-    /// When the platform last answered it.
+    /// When the platform last answered this entry.
     last_contact: Time,
-    /// It does nothing until then.
+    /// The entry is paused until this time.
     pub paused_until: Time,
-    /// It stops for so long between its next decisions and their effect.
+    /// If positive, the entry pauses for this long between its next decisions and their effect.
     pub pause: Duration,
-    /// Its actions take effect a second time after so long.
+    /// If positive, each action takes effect a second time after this delay.
     pub repeat_delay: Duration,
-    /// It has not read so many of the newest records.
+    /// Number of newest log records that the entry has not read.
     pub unread_records: usize,
-    /// It sees the workers as they were so many steps ago.
+    /// Age of the worker data that the entry sees, in ticks.
     pub status_lag: usize,
-    /// It hears no other entry and takes itself for the first in rank.
+    /// The entry reaches no other entry and therefore assumes rank 0.
     pub isolated: bool,
 }
 
 impl Node {
-    /// An entry that knows nothing.
+    /// Creates an entry without any state.
     pub fn new(name: usize) -> Self {
         Self {
             state: State::default(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Reads what it can and decides.
+    /// Reads new log records if the platform is available, then runs a driver step.
     pub fn step(
         &mut self,
         now: Time,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Why the wave waits, as it tells an operator.
+    /// Reasons why the wave waits, as shown to an operator.
     pub fn wait_reasons(&self, now: Time, workers: &Workers) -> Vec<String> {
         let view = View {
             now,
--- a/crates/maintenance/tests/world/workers.rs
+++ b/crates/maintenance/tests/world/workers.rs
@@ -1,4 +1,4 @@
-//! Workers and their control.
+//! Simulated workers and worker control.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use cactuswheel_maintenance::{Activity, Order, OrderKind, RosterStatus, WorkerStatus};
 use cactuswheel_model::{Incarnation, InstanceId, Map, Offset, Time};
 
-/// Time of a reboot.
+/// Duration of a reboot.
 pub const REBOOT: Duration = Duration::from_secs(4);
 
-/// All workers.
+/// All workers, with their simulated worker control.
 #[derive(Clone, Default)]
 pub struct Workers {
     all: BTreeMap<InstanceId, Worker>,
-    /// Instances that do not come back from a reboot.
+    /// Instances that do not return from a reboot.
     pub stuck: Vec<InstanceId>,
 }
 
@@ -44,7 +44,7 @@
         self.all.insert(id.clone(), worker);
     }
 
-    /// Brings back those whose time has come.
+    /// Brings back workers whose downtime has ended, in their next incarnation.
     pub fn advance(&mut self, now: Time) {
         for worker in self.all.values_mut() {
             let back = worker.down.as_ref().and_then(|d| d.until);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes a worker down without a plan.
+    /// Takes a worker down without a planned outage.
     pub fn take_down(&mut self, id: &InstanceId, until: Time) {
         let worker = self.all.get_mut(id).unwrap();
         let planned = worker.down.as_ref().is_some_and(|d| d.planned);
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Keeps a worker busy.
+    /// Keeps a worker busy until the given time.
     pub fn keep_busy(&mut self, id: &InstanceId, until: Time) {
         self.all.get_mut(id).unwrap().busy = until;
     }
@@ -119,7 +119,7 @@
         .collect()
     }
 
-    /// Workers that a reboot has taken down.
+    /// Workers that are down because of an ordered reboot.
     pub fn rebooting(&self) -> impl Iterator<Item = &InstanceId> {
         let down = |w: &Worker| w.down.as_ref().is_some_and(|d| d.planned);
         self.all
