--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -10,7 +10,7 @@
 pub struct View<'a> {
     /// Current time on this entry's own clock.
     pub now: Time,
-    /// Seconds since the Unix epoch; used only to start the next wave.
+    /// Seconds since 1970 (Unix time); used only to start the next wave.
     pub unix_time: u64,
     /// Name of this entry.
     pub entry: &'a EntryId,
