--- a/crates/maintenance/src/driver.rs
+++ b/crates/maintenance/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver's loop.
+//! The maintenance driver and its control loop.
 
 use std::time::Duration;
 
@@ -6,44 +6,48 @@
 use cactuswheel_model::{Disruption, InstanceId, Offset, Set};
 
 use crate::timers::Timers;
-use crate::{Action, Order, Settings, Verb, View};
+use crate::{Action, Order, OrderKind, Settings, View};
 
-/// Carries outages through. Holds nothing that another entry's driver needs.
+/// Starts outages and takes them through their stages.
+///
+/// Holds local state only; the driver of any other entry can take over at any time.
 #[derive(Debug)]
 pub struct Driver {
     pub(crate) settings: Settings,
-    pub(crate) timers: Timers<(InstanceId, Mark)>,
-    /// Instances whose grant ended and whose drain may still have to be lifted.
-    released: Set<InstanceId>,
-    /// Instances held when last looked at.
-    held: Set<InstanceId>,
-    /// Steps so far; walks over all instances to find drains that nobody remembers.
-    steps: usize,
-    /// Instances that have not come back for long.
+    pub(crate) timers: Timers<(InstanceId, Condition)>,
+    /// Instances whose outage has ended and that may still need a resume order.
+    pending_resume: Set<InstanceId>,
+    /// Instances that had an outage at the previous step.
+    in_outage: Set<InstanceId>,
+    /// Number of steps so far; selects one more instance to poll per step, in turn, so that
+    /// drains without an outage are found.
+    step_count: usize,
+    /// Instances whose reboot has taken longer than `overdue_timeout`.
     pub(crate) overdue: Vec<InstanceId>,
     pub(crate) actions: Vec<Action>,
 }
 
-/// A condition that the driver times.
+/// A condition whose duration the driver tracks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Mark {
-    /// The instance is not in the roster, or leaves it without a plan.
+pub(crate) enum Condition {
+    /// The instance is absent from the roster or listed as leaving, and is not rebooting, not
+    /// arriving and not yet recorded as lost.
     Missing,
-    /// It looks healthy after the outage named.
+    /// The instance is live and serving after the outage with this fencing token.
     Healthy(Offset),
-    /// Nothing runs on it.
-    Quiet(Offset),
-    /// The outage is at this stage.
+    /// The instance is draining under this fencing token and runs no work.
+    Idle(Offset),
+    /// The outage with this fencing token is in the draining stage.
     Draining(Offset),
-    /// It has not come back.
-    Away(Offset),
-    /// It is postponed by this record.
+    /// The outage with this fencing token is in the rebooting stage.
+    Rebooting(Offset),
+    /// The record at this offset has postponed the instance.
     Postponed(Offset),
-    /// A step is wanted.
-    Want(Offset, Step),
+    /// This step is pending for the outage with this fencing token; 0 if there is no outage yet.
+    Pending(Offset, Step),
 }
 
-/// Kinds of steps, to tell wishes apart.
+/// Kind of a proposed record or order; each kind has its own retry timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Step {
     Take,
@@ -51,121 +55,132 @@
     Cancel,
     Back,
     Lost,
-    Order(Verb),
+    Order(OrderKind),
 }
 
 impl Driver {
-    /// A driver that has seen nothing yet.
+    /// Creates a driver without any tracked state.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
             timers: Timers::default(),
-            released: Set::default(),
-            held: Set::default(),
-            steps: 0,
+            pending_resume: Set::default(),
+            in_outage: Set::default(),
+            step_count: 0,
             overdue: Vec::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Instances that worker control is to be asked about before the next step.
-    pub fn watched(&self, state: &cactuswheel_fleet::State) -> Vec<InstanceId> {
-        let mut watched: Vec<_> = self.released.iter().cloned().collect();
-        let holds = state.disruptions().outages();
-        watched.extend(holds.map(|hold| hold.instance.clone()));
+    /// Instances whose status the caller should query from worker control before the next step.
+    ///
+    /// These are the instances with an outage, those that may need a resume order, and one other
+    /// instance per step, in turn.
+    pub fn instances_to_poll(&self, state: &cactuswheel_fleet::State) -> Vec<InstanceId> {
+        let mut watched: Vec<_> = self.pending_resume.iter().cloned().collect();
+        let active = state.disruptions().outages();
+        watched.extend(active.map(|outage| outage.instance.clone()));
         let instances = &state.config().instances;
-        let next = self.steps % instances.len().max(1);
+        let next = self.step_count % instances.len().max(1);
         watched.extend(instances.values().nth(next).map(|i| i.id.clone()));
         watched
     }
 
-    /// Looks at the world and says what to do.
+    /// Runs one pass of the control loop and returns the actions to carry out.
     ///
-    /// Nothing comes out while the platform's word is old: the fold may have moved on, and
-    /// neither a record nor an order could be confirmed.
+    /// Returns no actions while the platform data is stale: the log may hold newer records that
+    /// this entry has not read, and neither a record nor an order could be confirmed.
     pub fn step(&mut self, view: &View<'_>) -> Vec<Action> {
-        self.note_released(view);
-        self.steps += 1;
-        if view.age > self.settings.fresh {
-            // Timers break: what was seen before an outage of the platform proves nothing.
+        self.track_ended_outages(view);
+        self.step_count += 1;
+        if view.staleness > self.settings.max_staleness {
+            // Resets all timers: after the platform was unreachable, conditions observed before
+            // may not have held without interruption.
             self.timers.sweep();
             return Vec::new();
         }
-        self.find_losses(view);
-        self.carry_on(view);
-        self.lift_drains(view);
-        self.start(view);
+        self.report_losses(view);
+        self.advance_outages(view);
+        self.end_stale_drains(view);
+        self.start_outages(view);
         self.timers.sweep();
         std::mem::take(&mut self.actions)
     }
 
-    /// Asks for a record once it was wanted for long enough that entries before this one in
-    /// rank had their chance.
+    /// Proposes a record once it has been pending for `stagger` times this entry's rank, so that
+    /// entries with a lower rank number propose it first.
     pub(crate) fn propose(&mut self, view: &View<'_>, fence: Offset, step: Step, d: Disruption) {
         if self.due(view, d.instance().clone(), fence, step) {
             self.actions.push(Action::Propose(d));
         }
     }
 
-    /// Gives an order, as [`propose`](Self::propose) does.
+    /// Sends an order, with the same delay and retries as [`propose`](Self::propose).
     pub(crate) fn order(&mut self, view: &View<'_>, order: Order) {
-        let step = Step::Order(order.verb);
+        let step = Step::Order(order.kind);
         if self.due(view, order.instance.clone(), order.fence, step) {
             self.actions.push(Action::Order(order));
         }
     }
 
     fn due(&mut self, view: &View<'_>, id: InstanceId, fence: Offset, step: Step) -> bool {
-        let patience = self.settings.stagger * view.rank;
-        let key = (id, Mark::Want(fence, step));
+        let delay = self.settings.stagger * view.rank;
+        let key = (id, Condition::Pending(fence, step));
         self.timers
-            .due(key, view.now, patience, self.settings.retry)
+            .due(key, view.now, delay, self.settings.retry_interval)
     }
 
-    /// Names a condition that holds now and tells for how long it has.
-    pub(crate) fn held(&mut self, view: &View<'_>, id: &InstanceId, mark: Mark) -> Duration {
-        self.timers.held((id.clone(), mark), view.now)
+    /// Marks a condition as true now and returns how long it has held without interruption.
+    pub(crate) fn held_for(
+        &mut self,
+        view: &View<'_>,
+        id: &InstanceId,
+        condition: Condition,
+    ) -> Duration {
+        self.timers.elapsed((id.clone(), condition), view.now)
     }
 
-    fn note_released(&mut self, view: &View<'_>) {
+    fn track_ended_outages(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
         let ended = self
-            .held
+            .in_outage
             .iter()
             .filter(|id| disruptions.outage(id).is_none());
-        self.released.extend(ended.cloned());
-        self.held = disruptions.outages().map(|h| h.instance.clone()).collect();
+        self.pending_resume.extend(ended.cloned());
+        self.in_outage = disruptions.outages().map(|o| o.instance.clone()).collect();
     }
 
-    /// Lifts drains that no grant stands behind any more.
+    /// Resumes instances that are draining without an outage that requires it.
     ///
-    /// Failure: the driver that cancelled a grant is replaced before it resumed the worker;
-    /// symptom: a healthy instance that gets no work. Every driver that saw the grant looks
-    /// after it, and all look at one instance after the other for drains sent late.
-    fn lift_drains(&mut self, view: &View<'_>) {
+    /// A driver may cancel an outage and be replaced before it resumes the worker; without this
+    /// pass, the healthy instance would receive no work. Every driver that saw the outage polls
+    /// the instance until the drain has ended, and all drivers poll the remaining instances in
+    /// turn to find drain orders that took effect late.
+    fn end_stale_drains(&mut self, view: &View<'_>) {
         let disruptions = view.state.disruptions();
-        for (id, look) in view.looks {
-            let hold = disruptions.outage(id);
-            if let crate::Activity::Draining(fence) = look.activity {
-                let needed = hold.is_some_and(|h| {
-                    h.fence >= fence && matches!(h.stage, Stage::Draining(_) | Stage::Rebooting(_))
+        for (id, status) in view.statuses {
+            let current = disruptions.outage(id);
+            if let crate::Activity::Draining(fence) = status.activity {
+                let needed = current.is_some_and(|o| {
+                    o.fence >= fence && matches!(o.stage, Stage::Draining(_) | Stage::Rebooting(_))
                 });
-                // A fold that lags has not read the grant yet. To end it then would leave a
-                // committed reboot that worker control refuses for ever.
+                // If this entry's state lags behind the log, it has not read the grant yet.
+                // Resuming the instance would revoke that fencing token, and worker control would
+                // then reject the reboot forever once it is committed.
                 let known = fence < view.state.next();
                 if known && !needed {
                     let order = Order {
-                        verb: Verb::Resume,
+                        kind: OrderKind::Resume,
                         instance: id.clone(),
-                        incarnation: look.incarnation,
+                        incarnation: status.incarnation,
                         fence,
                     };
                     self.order(view, order);
                 }
                 continue;
             }
-            if hold.is_none() {
-                self.released.remove(id);
+            if current.is_none() {
+                self.pending_resume.remove(id);
             }
         }
     }
