--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -181,14 +181,14 @@
         at(0.99),
     );
     println!("  other codes: {}", codes(done));
-    let attempts: u64 = stage.upstreams.iter().map(Upstream::asked).sum();
+    let attempts: u64 = stage.upstreams.iter().map(Upstream::received).sum();
     println!(
         "  attempts a request {:.3}",
         attempts as f64 / done.len() as f64
     );
     if fault == Fault::Outage {
         let first = &stage.upstreams[..Shape::TODAY.upstreams];
-        let attempts: u64 = first.iter().map(Upstream::asked).sum();
+        let attempts: u64 = first.iter().map(Upstream::received).sum();
         let asked = done.iter().filter(|d| d.service == 0).count();
         let each = attempts as f64 / asked as f64;
         println!("  at the pool that is out: {asked} asked, {each:.3} attempts a request");
--- a/crates/bench/src/stage.rs
+++ b/crates/bench/src/stage.rs
@@ -90,7 +90,7 @@
         let id = format!("w{n}");
         let upstream = Upstream::new(&id).with_slots(SLOTS).without_record();
         tokio::spawn(upstream.clone().serve(listener));
-        platform.list(Sighting {
+        platform.upsert_instance(Sighting {
             id: id.parse()?,
             incarnation: Incarnation::new(1),
             addr,
--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -4,9 +4,9 @@
 use serde_json::{Value, json};
 
 use crate::client::Client;
-use crate::date::date;
-use crate::diff::differing;
-use crate::table::cell;
+use crate::date::format_utc;
+use crate::diff::changed_fields;
+use crate::table::format_cell;
 use crate::{CliError, Output, table};
 
 const COLUMNS: &[&str] = &[
@@ -22,28 +22,33 @@
     let object = object.map(|o| format!("&object={}", o.path()));
     let path = format!("/v1/audit?max={max}{}", object.unwrap_or_default());
     let rows: Vec<Value> = client.get(&path).await?;
-    let shown: Vec<_> = rows.iter().map(readable).collect();
+    let shown: Vec<_> = rows.iter().map(readable_row).collect();
     Output::new(table(COLUMNS, &shown), &rows)
 }
 
 /// A row as a person reads it: the date, and what changed instead of two whole objects.
-fn readable(row: &Value) -> Value {
-    let mut shown = row.clone();
-    shown["at"] = json!(row["at"].as_u64().map(date));
-    shown["change"] = json!(change(&row["before"], &row["after"]));
-    shown
+fn readable_row(row: &Value) -> Value {
+    let mut readable = row.clone();
+    readable["at"] = json!(row["at"].as_u64().map(format_utc));
+    readable["change"] = json!(describe_change(&row["before"], &row["after"]));
+    readable
 }
 
-fn change(before: &Value, after: &Value) -> String {
+fn describe_change(before: &Value, after: &Value) -> String {
     match (fields(before), fields(after)) {
         (None, None) => String::new(),
         (None, Some(_)) => "added".to_owned(),
         (Some(_), None) => "removed".to_owned(),
         (Some(before), Some(after)) => {
-            let rows = differing(before, after);
-            let text = rows
-                .iter()
-                .map(|d| format!("{}: {} -> {}", d.field, cell(&d.before), cell(&d.after)));
+            let rows = changed_fields(before, after);
+            let text = rows.iter().map(|d| {
+                format!(
+                    "{}: {} -> {}",
+                    d.field,
+                    format_cell(&d.before),
+                    format_cell(&d.after)
+                )
+            });
             text.collect::<Vec<_>>().join(", ")
         }
     }
--- a/crates/cli/src/cell.rs
+++ b/crates/cli/src/cell.rs
@@ -10,30 +10,40 @@
 use crate::{CliError, Output, table};
 
 /// Time for a node to answer.
-const LIMIT: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-const NODE: &[&str] = &["node", "ready", "config", "config_age_ms", "owner", "epoch"];
-const QUEUES: &[&str] = &["queue", "open", "waiting"];
-const POOLS: &[&str] = &["pool", "workers", "runs", "used_cores", "waiting_cores"];
-const JOB: &[&str] = &["job", "queue", "state", "age_ms", "done", "waiting"];
-const RUNS: &[&str] = &["task", "run", "worker", "phase", "percent"];
+const NODE_COLUMNS: &[&str] = &["node", "ready", "config", "config_age_ms", "owner", "epoch"];
+const QUEUE_COLUMNS: &[&str] = &["queue", "open", "waiting"];
+const POOL_COLUMNS: &[&str] = &["pool", "workers", "runs", "used_cores", "waiting_cores"];
+const JOB_COLUMNS: &[&str] = &["job", "queue", "state", "age_ms", "done", "waiting"];
+const RUN_COLUMNS: &[&str] = &["task", "run", "worker", "phase", "percent"];
 
 /// Shows what a node tells of the cell, or of one job.
 pub(crate) async fn show(node: SocketAddr, job: Option<String>) -> Result<Output, CliError> {
     let Some(job) = job else {
-        let told = ask(node, "/cell").await?;
-        let mut text = table(NODE, std::slice::from_ref(&told));
-        part(&mut text, "Its queues:", QUEUES, &told["cell"]["queues"]);
-        part(&mut text, "Its pools:", POOLS, &told["cell"]["pools"]);
-        return Output::new(text, &told);
+        let value = fetch(node, "/cell").await?;
+        let mut text = table(NODE_COLUMNS, std::slice::from_ref(&value));
+        push_section(
+            &mut text,
+            "Its queues:",
+            QUEUE_COLUMNS,
+            &value["cell"]["queues"],
+        );
+        push_section(
+            &mut text,
+            "Its pools:",
+            POOL_COLUMNS,
+            &value["cell"]["pools"],
+        );
+        return Output::new(text, &value);
     };
-    let told = ask(node, &format!("/cell/jobs/{job}")).await?;
-    let mut text = table(JOB, std::slice::from_ref(&told));
-    part(&mut text, "Its runs:", RUNS, &told["runs"]);
-    Output::new(text, &told)
+    let value = fetch(node, &format!("/cell/jobs/{job}")).await?;
+    let mut text = table(JOB_COLUMNS, std::slice::from_ref(&value));
+    push_section(&mut text, "Its runs:", RUN_COLUMNS, &value["runs"]);
+    Output::new(text, &value)
 }
 
-fn part(text: &mut String, title: &str, columns: &'static [&'static str], rows: &Value) {
+fn push_section(text: &mut String, title: &str, columns: &'static [&'static str], rows: &Value) {
     let rows = rows.as_array().map_or(&[][..], Vec::as_slice);
     if !rows.is_empty() {
         text.push_str(&format!("\n{title}\n"));
@@ -41,8 +51,11 @@
     }
 }
 
-async fn ask(node: SocketAddr, path: &str) -> Result<Value, CliError> {
-    let answer = Call::get(node, path).with_timeout(LIMIT).send().await?;
+async fn fetch(node: SocketAddr, path: &str) -> Result<Value, CliError> {
+    let answer = Call::get(node, path)
+        .with_timeout(REQUEST_TIMEOUT)
+        .send()
+        .await?;
     let code = match answer.status.as_u16() {
         200 => Code::Ok,
         400 => Code::BadRequest,
@@ -56,6 +69,6 @@
             detail: String::from_utf8_lossy(&answer.body).into_owned(),
         });
     }
-    let told = answer.json();
-    told.map_err(|e| CallError::Unknown(node, e.to_string()).into())
+    let value = answer.json();
+    value.map_err(|e| CallError::Unknown(node, e.to_string()).into())
 }
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -11,14 +11,14 @@
 use crate::CliError;
 
 /// Longer than an entry takes to give a ticket up.
-const LIMIT: Duration = Duration::from_secs(15);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// One entry's admin API, with the operator's key.
 #[derive(Clone)]
 pub(crate) struct Client {
     entry: SocketAddr,
     key: String,
-    limit: Duration,
+    timeout: Duration,
 }
 
 /// The body of a refusal.
@@ -36,7 +36,7 @@
         Self {
             entry,
             key,
-            limit: LIMIT,
+            timeout: REQUEST_TIMEOUT,
         }
     }
 
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Gives a call up after `limit`.
-    pub(crate) fn with_limit(mut self, limit: Duration) -> Self {
-        self.limit = limit;
+    /// Gives a call up after `timeout`.
+    pub(crate) fn with_timeout(mut self, timeout: Duration) -> Self {
+        self.timeout = timeout;
         self
     }
 
@@ -76,10 +76,12 @@
     }
 
     async fn send<T: DeserializeOwned>(&self, call: Call) -> Result<T, CliError> {
-        let call = call.with_key(&self.key).with_timeout(self.limit);
+        let call = call.with_key(&self.key).with_timeout(self.timeout);
         let answer = call.send().await?;
         match answer.status.is_success() {
-            true => answer.json().map_err(|e| CliError::Answer(e.to_string())),
+            true => answer
+                .json()
+                .map_err(|e| CliError::InvalidAnswer(e.to_string())),
             false => Err(refusal(&answer)),
         }
     }
@@ -92,7 +94,7 @@
             message: refusal.message,
             detail: refusal.detail,
         },
-        Err(_) => CliError::Answer(format!("status {}", answer.status)),
+        Err(_) => CliError::InvalidAnswer(format!("status {}", answer.status)),
     }
 }
 
--- a/crates/cli/src/date.rs
+++ b/crates/cli/src/date.rs
@@ -1,13 +1,13 @@
 //! Dates for people.
 
-const SECOND: u64 = 1_000;
-const DAY: u64 = 86_400;
+const MILLIS_PER_SECOND: u64 = 1_000;
+const SECONDS_PER_DAY: u64 = 86_400;
 
 /// A point in time, in milliseconds since 1970, as text in UTC.
-pub(crate) fn date(millis: u64) -> String {
-    let seconds = millis / SECOND;
-    let (year, month, day) = civil(seconds / DAY);
-    let rest = seconds % DAY;
+pub(crate) fn format_utc(millis: u64) -> String {
+    let seconds = millis / MILLIS_PER_SECOND;
+    let (year, month, day) = civil_date(seconds / SECONDS_PER_DAY);
+    let rest = seconds % SECONDS_PER_DAY;
     let (hour, minute, second) = (rest / 3600, rest / 60 % 60, rest % 60);
     format!("{year}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
@@ -16,16 +16,16 @@
 ///
 /// Counts in cycles of 400 years, which all have the same number of days; a year begins in
 /// March, so that the leap day is its last.
-fn civil(days: u64) -> (u64, u64, u64) {
+fn civil_date(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let (cycle, day) = (days / 146_097, days % 146_097);
     let year = (day - day / 1_460 + day / 36_524 - day / 146_096) / 365;
     let day = day - (365 * year + year / 4 - year / 100);
     let month = (5 * day + 2) / 153;
-    let date = day - (153 * month + 2) / 5 + 1;
-    let (month, later) = match month < 10 {
+    let month_day = day - (153 * month + 2) / 5 + 1;
+    let (month, carry) = match month < 10 {
         true => (month + 3, 0),
         false => (month - 9, 1),
     };
-    (cycle * 400 + year + later, month, date)
+    (cycle * 400 + year + carry, month, month_day)
 }
--- a/crates/cli/src/diff.rs
+++ b/crates/cli/src/diff.rs
@@ -5,7 +5,7 @@
 use serde_json::{Map, Value};
 
 use crate::CliError;
-use crate::table::cell;
+use crate::table::format_cell;
 
 /// One object that a ticket names, beside its present state.
 #[derive(Debug, PartialEq, Eq, Serialize)]
@@ -35,7 +35,7 @@
 }
 
 /// The rows as text, one object a line and one field a line below it.
-pub(crate) fn show_diff(rows: &[DiffRow]) -> String {
+pub(crate) fn render_diff(rows: &[DiffRow]) -> String {
     let mut text = String::new();
     for row in rows {
         text.push_str(&format!("{:7} {}\n", row.action, row.object));
@@ -45,7 +45,7 @@
             after,
         } in &row.fields
         {
-            let (before, after) = (cell(before), cell(after));
+            let (before, after) = (format_cell(before), format_cell(after));
             text.push_str(&format!("          {field}: {before} -> {after}\n"));
         }
     }
@@ -54,7 +54,7 @@
 
 fn row(config: &Value, change: &Change) -> Result<DiffRow, CliError> {
     let object = change.object();
-    let before = &config[table_of(&object)][name_of(&object)];
+    let before = &config[config_section(&object)][object_name(&object)];
     let object = object.to_string();
     if matches!(change, Change::Remove(_)) {
         let action = if before.is_null() {
@@ -69,9 +69,9 @@
             fields,
         });
     }
-    let after = content(change)?;
+    let after = object_fields(change)?;
     let fields = match before.as_object() {
-        Some(before) => differing(before, &after),
+        Some(before) => changed_fields(before, &after),
         None => Vec::new(),
     };
     let action = match (before.is_null(), fields.is_empty()) {
@@ -87,15 +87,18 @@
 }
 
 /// The fields of the object in a change, which is written as `{"kind": {...}}`.
-fn content(change: &Change) -> Result<Map<String, Value>, CliError> {
-    let value = serde_json::to_value(change).map_err(|e| CliError::Answer(e.to_string()))?;
+fn object_fields(change: &Change) -> Result<Map<String, Value>, CliError> {
+    let value = serde_json::to_value(change).map_err(|e| CliError::InvalidAnswer(e.to_string()))?;
     let fields = value
         .as_object()
         .and_then(|o| o.values().next()?.as_object());
     Ok(fields.cloned().unwrap_or_default())
 }
 
-pub(crate) fn differing(before: &Map<String, Value>, after: &Map<String, Value>) -> Vec<FieldDiff> {
+pub(crate) fn changed_fields(
+    before: &Map<String, Value>,
+    after: &Map<String, Value>,
+) -> Vec<FieldDiff> {
     let mut names: Vec<_> = before.keys().chain(after.keys()).collect();
     names.sort();
     names.dedup();
@@ -111,7 +114,7 @@
         .collect()
 }
 
-fn table_of(object: &ObjectId) -> &'static str {
+fn config_section(object: &ObjectId) -> &'static str {
     match object {
         ObjectId::Dc(_) => "dcs",
         ObjectId::Pool(_) => "pools",
@@ -122,7 +125,7 @@
     }
 }
 
-fn name_of(object: &ObjectId) -> String {
+fn object_name(object: &ObjectId) -> String {
     match object {
         ObjectId::Dc(id) => id.to_string(),
         ObjectId::Pool(id) => id.to_string(),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -42,7 +42,7 @@
     Unreachable(String),
     /// The entry may have carried the command out.
     #[error("{code}: {0}", code = Code::EntryLost)]
-    Lost(String),
+    OutcomeUnknown(String),
     /// The entry refused.
     #[error("{code} {message}{}{detail}", if detail.is_empty() { "" } else { ": " })]
     Refused {
@@ -55,7 +55,7 @@
     },
     /// The entry answered something that cannot be read.
     #[error("{code}: its answer cannot be read: {0}", code = Code::EntryLost)]
-    Answer(String),
+    InvalidAnswer(String),
 }
 
 impl CliError {
@@ -70,8 +70,8 @@
     /// Adds what the user has to know to go on.
     pub(crate) fn with_note(self, note: &str) -> Self {
         match self {
-            Self::Lost(text) => Self::Lost(format!("{text} ({note})")),
-            Self::Answer(text) => Self::Answer(format!("{text} ({note})")),
+            Self::OutcomeUnknown(text) => Self::OutcomeUnknown(format!("{text} ({note})")),
+            Self::InvalidAnswer(text) => Self::InvalidAnswer(format!("{text} ({note})")),
             Self::Refused {
                 code,
                 message,
@@ -86,7 +86,7 @@
     }
 
     /// Whether the entry refused with `code`.
-    pub(crate) fn is(&self, code: Code) -> bool {
+    pub(crate) fn has_code(&self, code: Code) -> bool {
         matches!(self, Self::Refused { code: c, .. } if *c == code.number())
     }
 
@@ -96,7 +96,7 @@
             Self::File { .. } | Self::Input(_) | Self::Ticket { .. } => Exit::Input,
             Self::NoKey | Self::NoTeamKey => Exit::Usage,
             Self::Unreachable(_) => Exit::Unreachable,
-            Self::Lost(_) | Self::Answer(_) => Exit::Unknown,
+            Self::OutcomeUnknown(_) | Self::InvalidAnswer(_) => Exit::Unknown,
             Self::Refused { code, .. } => match Code::from_number(*code).map(Code::ran) {
                 Some(Ran::Unknown) => Exit::Unknown,
                 _ => Exit::Refused,
@@ -109,7 +109,7 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::NotSent(addr, why) => Self::Unreachable(format!("{addr}: {why}")),
-            CallError::Unknown(addr, why) => Self::Lost(format!("{addr}: {why}")),
+            CallError::Unknown(addr, why) => Self::OutcomeUnknown(format!("{addr}: {why}")),
         }
     }
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -35,7 +35,7 @@
     ];
 
     /// One line for the table of statuses.
-    pub fn text(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Self::Done => "done",
             Self::Usage => "the command line cannot be read",
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -9,7 +9,7 @@
 use crate::CliError;
 
 /// Longest key read from standard input, in bytes.
-const MAX_KEY: u64 = 4096;
+const MAX_KEY_BYTES: u64 = 4096;
 
 /// Reads a ticket.
 pub(crate) fn read_ticket(file: &Path) -> Result<Ticket, CliError> {
@@ -21,13 +21,13 @@
 pub(crate) fn read_key(input: impl Read) -> Result<String, CliError> {
     let mut text = String::new();
     input
-        .take(MAX_KEY)
+        .take(MAX_KEY_BYTES)
         .read_to_string(&mut text)
         .map_err(|e| CliError::Input(e.to_string()))?;
     let key = text.strip_suffix('\n').unwrap_or(&text);
     let key = key.strip_suffix('\r').unwrap_or(key);
-    let plain = |b: u8| b.is_ascii_graphic();
-    if key.is_empty() || !key.bytes().all(plain) {
+    let is_printable = |b: u8| b.is_ascii_graphic();
+    if key.is_empty() || !key.bytes().all(is_printable) {
         let message = "a key is one line of printable characters without spaces";
         return Err(CliError::Input(message.into()));
     }
--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -7,21 +7,21 @@
 use serde_json::{Value, json};
 
 use crate::client::Client;
-use crate::run::given;
+use crate::run::key_or_env;
 use crate::{CliError, Exit, JobCommand, JobOptions, Output, table};
 
-const JOB: &[&str] = &["job", "phase", "attempt", "worker", "lost", "cancel", "why"];
-const CANCELLED: &[&str] = &["job", "code"];
+const JOB_COLUMNS: &[&str] = &["job", "phase", "attempt", "worker", "lost", "cancel", "why"];
+const CANCELLED_COLUMNS: &[&str] = &["job", "code"];
 
 /// Carries out what a team does with its jobs.
 pub(crate) async fn run(options: JobOptions) -> Result<Output, CliError> {
-    let key = given(options.team_key, "CACTUSWHEEL_TEAM_KEY").ok_or(CliError::NoTeamKey)?;
+    let key = key_or_env(options.team_key, "CACTUSWHEEL_TEAM_KEY").ok_or(CliError::NoTeamKey)?;
     let client = Client::new(options.callers, key);
     match options.command {
         JobCommand::Submit { file } => submit(&client, &file).await,
         JobCommand::Show { name } => {
             let job: Value = client.get(&format!("/jobs/{name}")).await?;
-            view(&job)
+            render(&job)
         }
         JobCommand::Cancel { names } => cancel(&client, &names).await,
     }
@@ -31,7 +31,7 @@
 async fn submit(client: &Client, file: &Path) -> Result<Output, CliError> {
     let text = std::fs::read(file).map_err(|e| CliError::file(file, e))?;
     let job: Value = parse_json(&text).map_err(|e| CliError::file(file, e))?;
-    view(&client.post("/jobs", &job).await?)
+    render(&client.post("/jobs", &job).await?)
 }
 
 async fn cancel(client: &Client, names: &[JobName]) -> Result<Output, CliError> {
@@ -42,9 +42,9 @@
         true => Exit::Done,
         false => Exit::Refused,
     };
-    Ok(Output::new(table(CANCELLED, &rows), &rows)?.with_exit(exit))
+    Ok(Output::new(table(CANCELLED_COLUMNS, &rows), &rows)?.with_exit(exit))
 }
 
-fn view(job: &Value) -> Result<Output, CliError> {
-    Output::new(table(JOB, std::slice::from_ref(job)), job)
+fn render(job: &Value) -> Result<Output, CliError> {
+    Output::new(table(JOB_COLUMNS, std::slice::from_ref(job)), job)
 }
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -12,10 +12,10 @@
 use crate::{CliError, KeyCommand, Output, ticket, views, wait};
 
 /// Random bytes in a key.
-const KEY_LEN: usize = 32;
+const KEY_BYTES: usize = 32;
 
 /// Numbers tried when other operators put tickets in at the same time.
-const TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 
 /// A new key, shown once.
 #[derive(Serialize)]
@@ -41,10 +41,10 @@
                 withdrawn: false,
             };
             let reason = format!("key granted to {}", grant.team);
-            let outcome = put(client, grant, reason).await?;
+            let outcome = submit_grant(client, grant, reason).await?;
             let text = format!(
                 "key     {key}   (shown this once)\ndigest  {digest}\n{}",
-                ticket::in_force(&outcome)
+                ticket::in_force_line(&outcome)
             );
             let granted = Granted {
                 key,
@@ -57,11 +57,11 @@
         KeyCommand::Withdraw { wait, digest } => {
             let grant = KeyGrant {
                 withdrawn: true,
-                ..find(client, digest).await?
+                ..find_grant(client, digest).await?
             };
             let reason = format!("key of {} withdrawn", grant.team);
-            let outcome = put(client, grant, reason).await?;
-            let text = ticket::in_force(&outcome);
+            let outcome = submit_grant(client, grant, reason).await?;
+            let text = ticket::in_force_line(&outcome);
             wait::finish(client, &wait, &outcome, text).await
         }
     }
@@ -75,38 +75,42 @@
 
 /// Denies a key at the client's entry.
 async fn deny(client: &Client, digest: Digest) -> Result<Output, CliError> {
-    let asked = json!({ "digest": digest });
-    let denied: Value = client.post("/v1/denials", &asked).await?;
-    let text = match denied["recorded"] == true {
+    let request = json!({ "digest": digest });
+    let answer: Value = client.post("/v1/denials", &request).await?;
+    let text = match answer["recorded"] == true {
         true => "denied, and in the log",
         false => "denied at this entry; its peers and the log are being told",
     };
-    Output::new(text, &denied)
+    Output::new(text, &answer)
 }
 
 fn new_key() -> String {
-    let bytes: [u8; KEY_LEN] = rand::random();
+    let bytes: [u8; KEY_BYTES] = rand::random();
     let digits = bytes.iter().map(|b| format!("{b:02x}"));
     digits.collect()
 }
 
-async fn find(client: &Client, digest: Digest) -> Result<KeyGrant, CliError> {
+async fn find_grant(client: &Client, digest: Digest) -> Result<KeyGrant, CliError> {
     let list: Value = client.get("/v1/keys").await?;
     let grants = items(&list).iter().cloned().map(serde_json::from_value);
     let mut grants = grants.filter_map(Result::<KeyGrant, _>::ok);
-    let missing = || CliError::Refused {
+    let not_found = || CliError::Refused {
         code: Code::NotFound.number(),
         message: Code::NotFound.text().into(),
         detail: format!("key {digest}"),
     };
-    grants.find(|g| g.digest == digest).ok_or_else(missing)
+    grants.find(|g| g.digest == digest).ok_or_else(not_found)
 }
 
 /// Puts a key's new state in under the next free number.
 ///
 /// Two operators may take the same number; the log's order lets one have it and the other one
 /// tries the next.
-async fn put(client: &Client, grant: KeyGrant, reason: String) -> Result<Outcome, CliError> {
+async fn submit_grant(
+    client: &Client,
+    grant: KeyGrant,
+    reason: String,
+) -> Result<Outcome, CliError> {
     let note = format!("key's digest {}", grant.digest);
     let mut ticket = Ticket {
         ticket: TicketNo::default(),
@@ -115,14 +119,14 @@
         reason,
         changes: vec![Change::Key(grant)],
     };
-    let mut tries = TRIES;
+    let mut attempts_left = MAX_ATTEMPTS;
     loop {
-        ticket.ticket = TicketNo::new(ticket::next(client).await?);
-        tries -= 1;
-        match ticket::put(client, &ticket).await {
-            Err(e) if e.is(Code::TicketUsed) && tries > 0 => {}
+        ticket.ticket = TicketNo::new(ticket::next_number(client).await?);
+        attempts_left -= 1;
+        match ticket::submit(client, &ticket).await {
+            Err(e) if e.has_code(Code::TicketUsed) && attempts_left > 0 => {}
             // Without the digest nobody could withdraw a key that was granted all the same.
-            done => return done.map_err(|e| e.with_note(&note)),
+            result => return result.map_err(|e| e.with_note(&note)),
         }
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -8,7 +8,7 @@
     let json = options.json;
     match cactuswheel_cli::run(options).await {
         Ok(output) => {
-            println!("{}", output.show(json));
+            println!("{}", output.render(json));
             output.exit().into()
         }
         Err(e) => {
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -3,20 +3,20 @@
 use serde_json::{Value, json};
 
 use crate::client::Client;
-use crate::date::date;
+use crate::date::format_utc;
 use crate::{CliError, MaintenanceCommand, Output, table};
 
 /// Milliseconds of a second.
-const MILLIS: u64 = 1_000;
+const MILLIS_PER_SECOND: u64 = 1_000;
 
 const PATH: &str = "/v1/maintenance";
 
-const OUTAGES: &[&str] = &["instance", "stage", "incarnation", "fence"];
+const OUTAGE_COLUMNS: &[&str] = &["instance", "stage", "incarnation", "fence"];
 
 /// Carries out what operators do with waves, and shows where they stand.
 pub(crate) async fn run(client: &Client, command: MaintenanceCommand) -> Result<Output, CliError> {
-    let wish = match command {
-        MaintenanceCommand::Show => return view(&client.get(PATH).await?),
+    let request = match command {
+        MaintenanceCommand::Show => return render(&client.get(PATH).await?),
         MaintenanceCommand::Start { order, force } => {
             json!({"start": {"order": order, "force": force}})
         }
@@ -24,23 +24,26 @@
         MaintenanceCommand::Resume => json!({"resume": {}}),
         MaintenanceCommand::Reorder { order } => json!({"reorder": {"order": order}}),
     };
-    view(&client.post(PATH, &wish).await?)
+    render(&client.post(PATH, &request).await?)
 }
 
-fn view(shown: &Value) -> Result<Output, CliError> {
-    let mut text = headline(shown);
-    let outages: Vec<_> = rows(&shown["outages"]).iter().map(outage).collect();
+fn render(answer: &Value) -> Result<Output, CliError> {
+    let mut text = headline(answer);
+    let outages: Vec<_> = rows(&answer["outages"])
+        .iter()
+        .map(readable_outage)
+        .collect();
     if !outages.is_empty() {
-        text.push_str(&format!("\n{}", table(OUTAGES, &outages)));
+        text.push_str(&format!("\n{}", table(OUTAGE_COLUMNS, &outages)));
     }
-    for wait in rows(&shown["waits"]).iter().filter_map(Value::as_str) {
+    for wait in rows(&answer["waits"]).iter().filter_map(Value::as_str) {
         text.push_str(&format!("waits: {wait}\n"));
     }
-    Output::new(text, shown)
+    Output::new(text, answer)
 }
 
-fn headline(shown: &Value) -> String {
-    let wave = &shown["wave"];
+fn headline(answer: &Value) -> String {
+    let wave = &answer["wave"];
     if wave.is_null() {
         return "no wave has begun\n".to_owned();
     }
@@ -49,20 +52,20 @@
         false => "running",
     };
     let began = wave["began"].as_u64().unwrap_or_default();
-    let began = date(began * MILLIS);
+    let began = format_utc(began * MILLIS_PER_SECOND);
     format!(
         "wave {} {state}, begun {began}: {} of {} instances had their turn\n",
-        wave["number"], shown["done"], shown["total"]
+        wave["number"], answer["done"], answer["total"]
     )
 }
 
 /// An outage with the name of its stage, which is text or `{"name": ...}`.
-fn outage(row: &Value) -> Value {
-    let mut shown = row.clone();
+fn readable_outage(row: &Value) -> Value {
+    let mut readable = row.clone();
     if let Some(name) = row["stage"].as_object().and_then(|s| s.keys().next()) {
-        shown["stage"] = json!(name);
+        readable["stage"] = json!(name);
     }
-    shown
+    readable
 }
 
 fn rows(list: &Value) -> &[Value] {
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -29,7 +29,7 @@
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8081);
 
 /// Rows of a history unless told otherwise.
-const MAX: usize = 20;
+const DEFAULT_MAX_ROWS: usize = 20;
 
 /// Operate a cactuswheel fleet
 #[derive(Debug, Clone, Bpaf)]
@@ -120,7 +120,7 @@
         #[bpaf(argument("KIND/NAME"), optional)]
         object: Option<ObjectId>,
         /// Most rows
-        #[bpaf(argument("N"), fallback(MAX))]
+        #[bpaf(argument("N"), fallback(DEFAULT_MAX_ROWS))]
         max: usize,
     },
     /// All objects in force, as JSON
--- a/crates/cli/src/options/ticket.rs
+++ b/crates/cli/src/options/ticket.rs
@@ -5,7 +5,7 @@
 use bpaf::Bpaf;
 use cactuswheel_model::TicketNo;
 
-use super::MAX;
+use super::DEFAULT_MAX_ROWS;
 use super::wait::{WaitOptions, wait_options};
 
 /// What to do with tickets.
@@ -53,7 +53,7 @@
     #[bpaf(command)]
     History {
         /// Most rows
-        #[bpaf(argument("N"), fallback(MAX))]
+        #[bpaf(argument("N"), fallback(DEFAULT_MAX_ROWS))]
         max: usize,
     },
     /// Print the next free number
--- a/crates/cli/src/options/wait.rs
+++ b/crates/cli/src/options/wait.rs
@@ -7,7 +7,7 @@
 use super::parse_addrs;
 
 /// Time in which a change has to be in force everywhere, in seconds.
-const WITHIN: u64 = 12;
+const DEFAULT_WITHIN_SECS: u64 = 12;
 
 /// Whether and how to wait for the other entries.
 #[derive(Debug, Clone, Bpaf)]
@@ -18,6 +18,6 @@
     #[bpaf(argument::<String>("ADDR,.."), parse(parse_addrs), fallback(Vec::new()))]
     pub entries: Vec<SocketAddr>,
     /// Give up after so many seconds
-    #[bpaf(argument("SECONDS"), fallback(WITHIN))]
+    #[bpaf(argument("SECONDS"), fallback(DEFAULT_WITHIN_SECS))]
     pub within: u64,
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -16,7 +16,8 @@
 impl Output {
     /// A result that is done.
     pub(crate) fn new(text: impl Into<String>, value: &impl Serialize) -> Result<Self, CliError> {
-        let value = serde_json::to_value(value).map_err(|e| CliError::Answer(e.to_string()))?;
+        let value =
+            serde_json::to_value(value).map_err(|e| CliError::InvalidAnswer(e.to_string()))?;
         Ok(Self {
             text: text.into(),
             value,
@@ -31,7 +32,7 @@
     }
 
     /// The text for standard output.
-    pub fn show(&self, json: bool) -> String {
+    pub fn render(&self, json: bool) -> String {
         match json {
             true => format!("{:#}", self.value),
             false => self.text.trim_end().to_owned(),
--- a/crates/cli/src/page.rs
+++ b/crates/cli/src/page.rs
@@ -7,24 +7,24 @@
 use crate::Exit;
 
 /// The block of codes that only the programs print.
-const PROGRAMS: Range<u16> = 500..600;
+const PROGRAM_CODES: Range<u16> = 500..600;
 
 /// The page as it has to stand in `docs/CODES.md`.
 pub fn code_page() -> String {
-    let mut page = String::from(HEAD);
+    let mut page = String::from(HEADER);
     for code in Code::ALL {
         page.push_str(&code_row(*code));
     }
-    page.push_str(EXITS);
+    page.push_str(EXIT_HEADER);
     for exit in Exit::ALL {
-        page.push_str(&format!("| {} | {} |\n", *exit as u8, exit.text()));
+        page.push_str(&format!("| {} | {} |\n", *exit as u8, exit.description()));
     }
     page
 }
 
 fn code_row(code: Code) -> String {
     let (number, ran) = (code.number(), code.ran());
-    let status = match PROGRAMS.contains(&number) {
+    let status = match PROGRAM_CODES.contains(&number) {
         true => "-".to_owned(),
         false => code.status().to_string(),
     };
@@ -32,7 +32,7 @@
     format!("| {number} | `{code:?}` | {status} | {ran} | {meaning} | {advice} |\n")
 }
 
-const HEAD: &str = "\
+const HEADER: &str = "\
 # Result codes
 
 Made from `crates/model/src/code.rs`; a test keeps this page and the code the same. After a
@@ -51,7 +51,7 @@
 |---|---|---|---|---|---|
 ";
 
-const EXITS: &str = "
+const EXIT_HEADER: &str = "
 ## Exit statuses of the command line
 
 `cactuswheeld` ends with 0 after a planned stop and with 1 if it cannot start.
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -6,7 +6,7 @@
 
 /// Carries a command out.
 pub async fn run(options: Options) -> Result<Output, CliError> {
-    let key = given(options.key, "CACTUSWHEEL_KEY").ok_or(CliError::NoKey);
+    let key = key_or_env(options.key, "CACTUSWHEEL_KEY").ok_or(CliError::NoKey);
     let client = || key.map(|key| Client::new(options.entry, key));
     match options.command {
         Command::Ticket(TicketCommand::Validate { files }) => validate::validate(&files),
@@ -33,6 +33,6 @@
 /// A key from the command line or else from the environment.
 ///
 /// Not left to the parser of the command line, which shows the environment's values in its help.
-pub(crate) fn given(key: Option<String>, name: &str) -> Option<String> {
+pub(crate) fn key_or_env(key: Option<String>, name: &str) -> Option<String> {
     key.or_else(|| std::env::var(name).ok())
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -10,41 +10,45 @@
 use crate::{CliError, Exit, Output, table};
 
 /// Time for an entry to say where it stands.
-const LIMIT: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-const ENTRIES: &[&str] = &["addr", "entry", "dc", "ready", "next", "upstreams", "error"];
-const PEERS: &[&str] = &["entry", "next", "age_ms"];
+const ENTRY_COLUMNS: &[&str] = &["addr", "entry", "dc", "ready", "next", "upstreams", "error"];
+const PEER_COLUMNS: &[&str] = &["entry", "next", "age_ms"];
 
 /// Shows the client's entry and `others`; those that give no answer have an error instead.
 pub(crate) async fn show(client: &Client, others: &[SocketAddr]) -> Result<Output, CliError> {
     if others.is_empty() {
         let status: Value = client.get("/v1/status").await?;
-        return one(client, status);
+        return render_entry(client, status);
     }
     let mut addrs = vec![client.entry()];
     addrs.extend(others.iter().filter(|a| **a != client.entry()));
-    let rows = join_all(addrs.into_iter().map(|addr| ask(client, addr))).await;
+    let rows = join_all(addrs.into_iter().map(|addr| fetch_status(client, addr))).await;
     let exit = match rows.iter().all(|row| row["error"].is_null()) {
         true => Exit::Done,
         false => Exit::Partial,
     };
-    let text = table(ENTRIES, &rows);
+    let text = table(ENTRY_COLUMNS, &rows);
     Ok(Output::new(text, &json!({ "entries": rows }))?.with_exit(exit))
 }
 
-fn one(client: &Client, mut status: Value) -> Result<Output, CliError> {
+fn render_entry(client: &Client, mut status: Value) -> Result<Output, CliError> {
     status["addr"] = json!(client.entry());
-    let mut text = table(ENTRIES, std::slice::from_ref(&status));
+    let mut text = table(ENTRY_COLUMNS, std::slice::from_ref(&status));
     let peers = status["peers"].as_array().map_or(&[][..], Vec::as_slice);
     if !peers.is_empty() {
         text.push_str("\nIts peers, as last heard:\n");
-        text.push_str(&table(PEERS, peers));
+        text.push_str(&table(PEER_COLUMNS, peers));
     }
     Output::new(text, &status)
 }
 
-async fn ask(client: &Client, addr: SocketAddr) -> Value {
-    let answer = client.at(addr).with_limit(LIMIT).get("/v1/status").await;
+async fn fetch_status(client: &Client, addr: SocketAddr) -> Value {
+    let answer = client
+        .at(addr)
+        .with_timeout(REQUEST_TIMEOUT)
+        .get("/v1/status")
+        .await;
     let mut row = answer.unwrap_or_else(|e: CliError| json!({ "error": e.to_string() }));
     row["addr"] = json!(addr);
     row
--- a/crates/cli/src/ticket.rs
+++ b/crates/cli/src/ticket.rs
@@ -7,11 +7,11 @@
 use serde_json::Value;
 
 use crate::client::{Client, items};
-use crate::diff::{diff, show_diff};
+use crate::diff::{diff, render_diff};
 use crate::files::read_ticket;
 use crate::{CliError, Output, TicketCommand, table, validate, wait};
 
-const OUTCOMES: &[&str] = &["ticket", "code", "offset", "detail"];
+const OUTCOME_COLUMNS: &[&str] = &["ticket", "code", "offset", "detail"];
 
 /// Carries out what needs an entry, and `validate`.
 pub(crate) async fn run(client: &Client, command: TicketCommand) -> Result<Output, CliError> {
@@ -20,40 +20,40 @@
         TicketCommand::Check { file } => check(client, &file).await,
         TicketCommand::Diff { file } => compare(client, &file).await,
         TicketCommand::Apply { wait, file } => {
-            let outcome = put(client, &read_ticket(&file)?).await?;
-            let text = in_force(&outcome);
+            let outcome = submit(client, &read_ticket(&file)?).await?;
+            let text = in_force_line(&outcome);
             wait::finish(client, &wait, &outcome, text).await
         }
         TicketCommand::Show { number } => {
             let outcome: Value = client.get(&format!("/v1/tickets/{number}")).await?;
-            let text = table(OUTCOMES, std::slice::from_ref(&outcome));
+            let text = table(OUTCOME_COLUMNS, std::slice::from_ref(&outcome));
             Output::new(text, &outcome)
         }
         TicketCommand::History { max } => {
             let list: Value = client.get(&format!("/v1/tickets?max={max}")).await?;
-            Output::new(table(OUTCOMES, items(&list)), &list)
+            Output::new(table(OUTCOME_COLUMNS, items(&list)), &list)
         }
         TicketCommand::Next => {
-            let next = next(client).await?;
+            let next = next_number(client).await?;
             Output::new(next.to_string(), &next)
         }
     }
 }
 
 /// Puts a ticket in; its outcome once the entry has read it back.
-pub(crate) async fn put(client: &Client, ticket: &Ticket) -> Result<Outcome, CliError> {
+pub(crate) async fn submit(client: &Client, ticket: &Ticket) -> Result<Outcome, CliError> {
     client.post("/v1/tickets", ticket).await
 }
 
 /// The next free number.
-pub(crate) async fn next(client: &Client) -> Result<u64, CliError> {
+pub(crate) async fn next_number(client: &Client) -> Result<u64, CliError> {
     let answer: Value = client.get("/v1/tickets/next").await?;
-    let missing = || CliError::Answer("no number in it".into());
+    let missing = || CliError::InvalidAnswer("no number in it".into());
     answer["ticket"].as_u64().ok_or_else(missing)
 }
 
 /// One line on a ticket that holds.
-pub(crate) fn in_force(outcome: &Outcome) -> String {
+pub(crate) fn in_force_line(outcome: &Outcome) -> String {
     let Outcome { ticket, offset, .. } = outcome;
     format!("ticket {ticket} in force at offset {offset}\n")
 }
@@ -69,5 +69,5 @@
     let ticket = read_ticket(file)?;
     let config: Value = client.get("/v1/config").await?;
     let rows = diff(&config, &ticket)?;
-    Output::new(show_diff(&rows), &rows)
+    Output::new(render_diff(&rows), &rows)
 }
--- a/crates/cli/src/validate.rs
+++ b/crates/cli/src/validate.rs
@@ -24,16 +24,16 @@
     let mut state = State::default();
     let rows = files
         .iter()
-        .map(|file| one(&mut state, file))
+        .map(|file| validate_file(&mut state, file))
         .collect::<Result<Vec<_>, _>>()?;
-    let lines: Vec<_> = rows.iter().map(line).collect();
+    let lines: Vec<_> = rows.iter().map(describe).collect();
     Output::new(lines.join("\n"), &rows)
 }
 
-fn one(state: &mut State, file: &Path) -> Result<Validated, CliError> {
+fn validate_file(state: &mut State, file: &Path) -> Result<Validated, CliError> {
     let ticket = read_ticket(file)?;
     let (number, changes) = (ticket.ticket.get(), ticket.changes.len());
-    let needs = try_on(state, ticket, file)?;
+    let needs = apply_ticket(state, ticket, file)?;
     Ok(Validated {
         file: file.into(),
         ticket: number,
@@ -42,7 +42,11 @@
     })
 }
 
-fn try_on(state: &mut State, ticket: Ticket, file: &Path) -> Result<Option<String>, CliError> {
+fn apply_ticket(
+    state: &mut State,
+    ticket: Ticket,
+    file: &Path,
+) -> Result<Option<String>, CliError> {
     let body = serde_json::to_string(&Record::Ticket(ticket));
     let body = body.map_err(|e| CliError::file(file, e))?;
     let outcome = match state.apply(state.next(), &body) {
@@ -60,7 +64,7 @@
     }
 }
 
-fn line(row: &Validated) -> String {
+fn describe(row: &Validated) -> String {
     let (file, number, changes) = (row.file.display(), row.ticket, row.changes);
     match &row.needs {
         None => format!("{file}: ticket {number}, {changes} changes, usable"),
--- a/crates/cli/src/views.rs
+++ b/crates/cli/src/views.rs
@@ -71,7 +71,7 @@
     ],
 };
 
-const ALLOTMENTS: &[&str] = &["team", "limit", "life", "cap", "occupied", "want", "open"];
+const ALLOTMENT_COLUMNS: &[&str] = &["team", "limit", "life", "cap", "occupied", "want", "open"];
 
 /// Shows a list.
 pub(crate) async fn list(client: &Client, view: &View) -> Result<Output, CliError> {
@@ -91,12 +91,12 @@
 /// Shows who holds how much of each team's limit, one row an entry.
 pub(crate) async fn allotments(client: &Client) -> Result<Output, CliError> {
     let list: Value = client.get("/v1/allotments").await?;
-    let rows: Vec<_> = items(&list).iter().flat_map(split).collect();
-    Output::new(table(ALLOTMENTS, &rows), &list)
+    let rows: Vec<_> = items(&list).iter().flat_map(entry_rows).collect();
+    Output::new(table(ALLOTMENT_COLUMNS, &rows), &list)
 }
 
 /// The rows of one team's entries.
-fn split(team: &Value) -> Vec<Value> {
+fn entry_rows(team: &Value) -> Vec<Value> {
     let entries = team["entries"].as_array().map_or(&[][..], Vec::as_slice);
     let rows = entries.iter().map(|entry| {
         let mut row = entry.clone();
--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -50,7 +50,7 @@
 async fn start_upstream(platform: &Platform, name: &str, host: IpAddr) -> Result<(), StartError> {
     let (listener, addr) = listen(host).await?;
     let id: InstanceId = parse(name)?;
-    platform.list(Sighting {
+    platform.upsert_instance(Sighting {
         id,
         incarnation: Incarnation::new(1),
         addr,
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -14,23 +14,23 @@
     /// Offset of the next append.
     head: Offset,
     /// Most records kept.
-    kept: usize,
+    capacity: usize,
     /// Calls of `append` so far.
     appends: u64,
     /// Tells readers that wait for the head to move.
-    moved: watch::Sender<Offset>,
+    head_sender: watch::Sender<Offset>,
 }
 
 impl Log {
     /// An empty stream that keeps `kept` records.
-    pub(crate) fn new(kept: usize) -> Self {
-        let (moved, _) = watch::channel(Offset::default());
+    pub(crate) fn new(capacity: usize) -> Self {
+        let (head_sender, _) = watch::channel(Offset::default());
         Self {
             entries: VecDeque::new(),
             head: Offset::default(),
-            kept,
+            capacity,
             appends: 0,
-            moved,
+            head_sender,
         }
     }
 
@@ -45,9 +45,9 @@
             });
             self.head = self.head.next();
         }
-        let surplus = self.entries.len().saturating_sub(self.kept);
+        let surplus = self.entries.len().saturating_sub(self.capacity);
         self.entries.drain(..surplus);
-        self.moved.send_replace(self.head);
+        self.head_sender.send_replace(self.head);
         first
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// Tells when the head moves.
-    pub(crate) fn watch(&self) -> watch::Receiver<Offset> {
-        self.moved.subscribe()
+    pub(crate) fn watch_head(&self) -> watch::Receiver<Offset> {
+        self.head_sender.subscribe()
     }
 
     fn first(&self) -> Offset {
