--- a/crates/cli/examples/codes.rs
+++ b/crates/cli/examples/codes.rs
@@ -1,4 +1,4 @@
-//! Prints the page `docs/CODES.md`.
+//! Prints the expected content of `docs/CODES.md`.
 
 fn main() {
     print!("{}", cactuswheel_cli::code_page());
--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail.
+//! The `audit` command.
 
 use cactuswheel_model::ObjectId;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
     "at", "author", "ticket", "offset", "object", "code", "change", "detail",
 ];
 
-/// Shows the newest rows, oldest first, of one object if it is given.
+/// Shows the newest `max` rows of the audit trail, oldest first; only those of `object` if given.
 pub(crate) async fn show(
     client: &Client,
     object: Option<ObjectId>,
@@ -26,7 +26,7 @@
     Output::new(table(COLUMNS, &shown), &rows)
 }
 
-/// A row as a person reads it: the date, and what changed instead of two whole objects.
+/// Makes a row readable: formats its time, and adds a summary of the changed fields as `change`.
 fn readable_row(row: &Value) -> Value {
     let mut readable = row.clone();
     readable["at"] = json!(row["at"].as_u64().map(format_utc));
@@ -54,7 +54,8 @@
     }
 }
 
-/// The fields of an image, which is written as `{"kind": {...}}`.
+/// Returns the fields of an object before or after a change, which is encoded as
+/// `{"kind": {...}}`.
 fn fields(image: &Value) -> Option<&serde_json::Map<String, Value>> {
     image.as_object()?.values().next()?.as_object()
 }
--- a/crates/cli/src/cell.rs
+++ b/crates/cli/src/cell.rs
@@ -1,4 +1,4 @@
-//! The cell of nodes on the users' platform.
+//! The `cell` command, which queries a node of the cell.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::{CliError, Output, table};
 
-/// Time for a node to answer.
+/// Timeout of a request to a node.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 const NODE_COLUMNS: &[&str] = &["node", "ready", "config", "config_age_ms", "owner", "epoch"];
@@ -18,7 +18,7 @@
 const JOB_COLUMNS: &[&str] = &["job", "queue", "state", "age_ms", "done", "waiting"];
 const RUN_COLUMNS: &[&str] = &["task", "run", "worker", "phase", "percent"];
 
-/// Shows what a node tells of the cell, or of one job.
+/// Shows the state of the cell, or of one job, as reported by the node at the address `node`.
 pub(crate) async fn show(node: SocketAddr, job: Option<String>) -> Result<Output, CliError> {
     let Some(job) = job else {
         let value = fetch(node, "/cell").await?;
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to one entry.
+//! HTTP client for one entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::CliError;
 
-/// Longer than an entry takes to give a ticket up.
+/// Default request timeout; longer than an entry waits before it gives up on a ticket.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// One entry's admin API, with the operator's key.
+/// Client of one entry with the key of an operator or a team.
 #[derive(Clone)]
 pub(crate) struct Client {
     entry: SocketAddr,
@@ -21,7 +21,7 @@
     timeout: Duration,
 }
 
-/// The body of a refusal.
+/// JSON body of a refusal.
 #[derive(Deserialize)]
 struct Refusal {
     code: u16,
@@ -31,7 +31,7 @@
 }
 
 impl Client {
-    /// The API at `entry`.
+    /// Creates a client for the entry at the address `entry`.
     pub(crate) fn new(entry: SocketAddr, key: String) -> Self {
         Self {
             entry,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The same operator at another entry.
+    /// Returns a client with the same key and timeout for another entry.
     pub(crate) fn at(&self, entry: SocketAddr) -> Self {
         Self {
             entry,
@@ -48,23 +48,23 @@
         }
     }
 
-    /// Gives a call up after `timeout`.
+    /// Sets the timeout of each request.
     pub(crate) fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Where the entry listens.
+    /// Returns the address of the entry.
     pub(crate) fn entry(&self) -> SocketAddr {
         self.entry
     }
 
-    /// Reads.
+    /// Sends a GET request and parses the JSON answer.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
         self.send(Call::get(self.entry, path)).await
     }
 
-    /// Puts something in.
+    /// Sends a POST request with a JSON body and parses the JSON answer.
     pub(crate) async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -98,7 +98,7 @@
     }
 }
 
-/// The rows of a list.
+/// Returns the `items` of a list answer, or an empty slice if it has none.
 pub(crate) fn items(list: &Value) -> &[Value] {
     list["items"].as_array().map_or(&[], Vec::as_slice)
 }
--- a/crates/cli/src/date.rs
+++ b/crates/cli/src/date.rs
@@ -1,9 +1,10 @@
-//! Dates for people.
+//! Formats timestamps.
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 const SECONDS_PER_DAY: u64 = 86_400;
 
-/// A point in time, in milliseconds since 1970, as text in UTC.
+/// Formats a time, in milliseconds since 1970, as date and time in UTC, such as
+/// `1970-01-01T00:00:00Z`.
 pub(crate) fn format_utc(millis: u64) -> String {
     let seconds = millis / MILLIS_PER_SECOND;
     let (year, month, day) = civil_date(seconds / SECONDS_PER_DAY);
@@ -12,10 +13,10 @@
     format!("{year}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Year, month and day of a day since 1970, in the Gregorian calendar.
+/// Converts days since 1970-01-01 to year, month and day of the Gregorian calendar.
 ///
-/// Counts in cycles of 400 years, which all have the same number of days; a year begins in
-/// March, so that the leap day is its last.
+/// Splits the days into cycles of 400 years, which all have the same number of days. Within a
+/// cycle, years are counted from March, so that the leap day is the last day of its year.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let (cycle, day) = (days / 146_097, days % 146_097);
--- a/crates/cli/src/diff.rs
+++ b/crates/cli/src/diff.rs
@@ -1,4 +1,4 @@
-//! What a ticket would change.
+//! Compares a ticket with the objects in force.
 
 use cactuswheel_model::{Change, ObjectId, Ticket};
 use serde::Serialize;
@@ -7,34 +7,35 @@
 use crate::CliError;
 use crate::table::format_cell;
 
-/// One object that a ticket names, beside its present state.
+/// The difference between one object in a ticket and the same object in force.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 pub struct DiffRow {
-    /// Its kind and name.
+    /// Kind and name of the object.
     pub object: String,
-    /// `add`, `change`, `same`, `remove` or `missing`.
+    /// `add`, `change`, `same`, `remove`, or `missing` for the removal of an object that does not
+    /// exist.
     pub action: &'static str,
-    /// Fields that differ.
+    /// Fields that differ, for the action `change`.
     pub fields: Vec<FieldDiff>,
 }
 
 /// One field that differs.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 pub struct FieldDiff {
-    /// Its name.
+    /// Name of the field.
     pub field: String,
-    /// Its value in force.
+    /// Value in force, null if the field is not set.
     pub before: Value,
-    /// Its value in the ticket.
+    /// Value in the ticket, null if the field is not set.
     pub after: Value,
 }
 
-/// Compares a ticket with the objects in force, as `/v1/config` gives them.
+/// Compares a ticket with the objects in force; `config` is the answer of `/v1/config`.
 pub fn diff(config: &Value, ticket: &Ticket) -> Result<Vec<DiffRow>, CliError> {
     ticket.changes.iter().map(|c| row(config, c)).collect()
 }
 
-/// The rows as text, one object a line and one field a line below it.
+/// Formats the rows as text, with one line for each object and one below it for each field.
 pub(crate) fn render_diff(rows: &[DiffRow]) -> String {
     let mut text = String::new();
     for row in rows {
@@ -86,7 +87,7 @@
     })
 }
 
-/// The fields of the object in a change, which is written as `{"kind": {...}}`.
+/// Returns the fields of the object in a change, which is encoded as `{"kind": {...}}`.
 fn object_fields(change: &Change) -> Result<Map<String, Value>, CliError> {
     let value = serde_json::to_value(change).map_err(|e| CliError::InvalidAnswer(e.to_string()))?;
     let fields = value
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the command line.
 
 use std::path::{Path, PathBuf};
 
@@ -7,28 +7,28 @@
 
 use crate::Exit;
 
-/// A failed command; prints as one line that starts with its code.
+/// A failed command; displays as one line that starts with the result code's number.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// A file cannot be read or does not hold what it should.
+    /// A file cannot be read or has invalid content.
     #[error("{}: {}: {message}", Code::BadFile, path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What happened, with the place in the file.
+        /// The cause, with the position in the file if known.
         message: String,
     },
-    /// Standard input does not hold what it should.
+    /// Standard input, or a request body made from input, is invalid.
     #[error("{code}: standard input: {0}", code = Code::BadFile)]
     Input(String),
-    /// A ticket can be read but no fleet could take it.
+    /// A ticket is valid JSON, but no fleet could apply it.
     #[error("{code}: {}: {detail}", path.display())]
     Ticket {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The result code of the ticket.
         code: Code,
-        /// What was wrong.
+        /// Details of the refusal.
         detail: String,
     },
     /// No operator key was given.
@@ -37,29 +37,29 @@
     /// No team key was given.
     #[error("{}: set CACTUSWHEEL_TEAM_KEY", Code::NoKey)]
     NoTeamKey,
-    /// The entry could not be reached.
+    /// The request was not sent because the entry could not be reached.
     #[error("{code}: {0}", code = Code::EntryUnreachable)]
     Unreachable(String),
-    /// The entry may have carried the command out.
+    /// No complete answer came; the entry may have run the command.
     #[error("{code}: {0}", code = Code::EntryLost)]
     OutcomeUnknown(String),
-    /// The entry refused.
+    /// The entry refused the command.
     #[error("{code} {message}{}{detail}", if detail.is_empty() { "" } else { ": " })]
     Refused {
-        /// The number of its code.
+        /// Number of the result code.
         code: u16,
-        /// The code's text.
+        /// Text of the result code.
         message: String,
-        /// What was wrong.
+        /// Details of the refusal.
         detail: String,
     },
-    /// The entry answered something that cannot be read.
+    /// The answer could not be parsed, or a result could not be written as JSON.
     #[error("{code}: its answer cannot be read: {0}", code = Code::EntryLost)]
     InvalidAnswer(String),
 }
 
 impl CliError {
-    /// A file that cannot be used.
+    /// Returns a [`CliError::File`] for the file at `path`.
     pub(crate) fn file(path: &Path, message: impl ToString) -> Self {
         Self::File {
             path: path.into(),
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Adds what the user has to know to go on.
+    /// Appends `note` in parentheses to errors after which the command may have taken effect, and
+    /// to refusals; returns other errors unchanged.
     pub(crate) fn with_note(self, note: &str) -> Self {
         match self {
             Self::OutcomeUnknown(text) => Self::OutcomeUnknown(format!("{text} ({note})")),
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Whether the entry refused with `code`.
+    /// Returns whether the entry refused the command with `code`.
     pub(crate) fn has_code(&self, code: Code) -> bool {
         matches!(self, Self::Refused { code: c, .. } if *c == code.number())
     }
 
-    /// The exit status.
+    /// Returns the exit status of the process.
     pub fn exit(&self) -> Exit {
         match self {
             Self::File { .. } | Self::Input(_) | Self::Ticket { .. } => Exit::Input,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,29 +1,29 @@
-//! Exit statuses.
+//! Exit statuses of the process.
 
 use std::process::ExitCode;
 
-/// How a command ended, for scripts.
+/// Exit status of a command, for use in scripts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// The command line itself cannot be read.
+    /// The command line cannot be parsed, or a key is missing.
     Usage = 1,
-    /// A file or an input cannot be used.
+    /// A file or standard input is invalid.
     Input = 2,
-    /// The entry refused.
+    /// The entry refused the command.
     Refused = 3,
-    /// The entry cannot be reached: nothing took effect.
+    /// The entry cannot be reached; the command had no effect.
     Unreachable = 4,
-    /// No whole answer: the command may have taken effect.
+    /// No complete answer came; the command may have taken effect.
     Unknown = 5,
-    /// In force, but not confirmed by every entry in time.
+    /// Some of the entries did not answer, or did not confirm the change in time.
     Partial = 6,
 }
 
 impl Exit {
-    /// Every status, in order.
+    /// Every status, in ascending order.
     pub const ALL: &[Self] = &[
         Self::Done,
         Self::Usage,
@@ -34,7 +34,7 @@
         Self::Partial,
     ];
 
-    /// One line for the table of statuses.
+    /// Returns the one-line description for the table of statuses.
     pub fn description(self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -1,4 +1,4 @@
-//! Files and standard input.
+//! Reads files and standard input.
 
 use std::io::Read;
 use std::path::Path;
@@ -8,16 +8,16 @@
 
 use crate::CliError;
 
-/// Longest key read from standard input, in bytes.
+/// Most bytes read from standard input for a key.
 const MAX_KEY_BYTES: u64 = 4096;
 
-/// Reads a ticket.
+/// Reads a ticket from a JSON file.
 pub(crate) fn read_ticket(file: &Path) -> Result<Ticket, CliError> {
     let text = std::fs::read(file).map_err(|e| CliError::file(file, e))?;
     parse_json(&text).map_err(|e| CliError::file(file, e))
 }
 
-/// Reads a key; one line end after it does not belong to it.
+/// Reads a key and strips one trailing line ending (LF or CRLF).
 pub(crate) fn read_key(input: impl Read) -> Result<String, CliError> {
     let mut text = String::new();
     input
--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -1,4 +1,4 @@
-//! A team's jobs.
+//! The `job` commands.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 const JOB_COLUMNS: &[&str] = &["job", "phase", "attempt", "worker", "lost", "cancel", "why"];
 const CANCELLED_COLUMNS: &[&str] = &["job", "code"];
 
-/// Carries out what a team does with its jobs.
+/// Runs a `job` command with the team's key.
 pub(crate) async fn run(options: JobOptions) -> Result<Output, CliError> {
     let key = key_or_env(options.team_key, "CACTUSWHEEL_TEAM_KEY").ok_or(CliError::NoTeamKey)?;
     let client = Client::new(options.callers, key);
@@ -27,7 +27,7 @@
     }
 }
 
-/// The entry knows what a job has to hold; here it only has to be JSON.
+/// Submits a job; the file only has to be JSON here, as the entry validates the specification.
 async fn submit(client: &Client, file: &Path) -> Result<Output, CliError> {
     let text = std::fs::read(file).map_err(|e| CliError::file(file, e))?;
     let job: Value = parse_json(&text).map_err(|e| CliError::file(file, e))?;
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of teams.
+//! The `key` commands.
 
 use std::io::Read;
 
@@ -11,13 +11,13 @@
 use crate::files::read_key;
 use crate::{CliError, KeyCommand, Output, ticket, views, wait};
 
-/// Random bytes in a key.
+/// Number of random bytes in a new key.
 const KEY_BYTES: usize = 32;
 
-/// Numbers tried when other operators put tickets in at the same time.
+/// Ticket numbers tried before giving up when other operators submit tickets at the same time.
 const MAX_ATTEMPTS: usize = 5;
 
-/// A new key, shown once.
+/// A newly granted key; the only output that contains the key itself.
 #[derive(Serialize)]
 struct Granted {
     key: String,
@@ -26,7 +26,7 @@
     offset: Offset,
 }
 
-/// Carries out what needs an entry, and `digest`.
+/// Runs a `key` command.
 pub(crate) async fn run(client: &Client, command: KeyCommand) -> Result<Output, CliError> {
     match command {
         KeyCommand::List => views::list(client, &views::KEYS).await,
@@ -67,13 +67,13 @@
     }
 }
 
-/// Prints the digest of a key.
+/// Computes the digest of the key read from `input`.
 pub(crate) fn digest(input: impl Read) -> Result<Output, CliError> {
     let digest = Digest::of(read_key(input)?.as_bytes());
     Output::new(digest.to_string(), &digest)
 }
 
-/// Denies a key at the client's entry.
+/// Denies a key at the client's entry immediately.
 async fn deny(client: &Client, digest: Digest) -> Result<Output, CliError> {
     let request = json!({ "digest": digest });
     let answer: Value = client.post("/v1/denials", &request).await?;
@@ -102,10 +102,10 @@
     grants.find(|g| g.digest == digest).ok_or_else(not_found)
 }
 
-/// Puts a key's new state in under the next free number.
+/// Submits a ticket with the new state of a key, under the next free ticket number.
 ///
-/// Two operators may take the same number; the log's order lets one have it and the other one
-/// tries the next.
+/// Two operators may submit the same number at the same time. The ticket that comes first in the
+/// log gets the number, and the other operator's command retries with the next one.
 async fn submit_grant(
     client: &Client,
     grant: KeyGrant,
@@ -125,7 +125,8 @@
         attempts_left -= 1;
         match ticket::submit(client, &ticket).await {
             Err(e) if e.has_code(Code::TicketUsed) && attempts_left > 0 => {}
-            // Without the digest nobody could withdraw a key that was granted all the same.
+            // The error names the digest, because the key may have been granted despite the error
+            // and the operator needs the digest to withdraw it.
             result => return result.map_err(|e| e.with_note(&note)),
         }
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' command line: it talks to entries' admin API and to nothing else.
+//! The operators' command line: a client of the entries' admin API, the callers' job API and the
+//! nodes' metrics address.
 
 mod audit;
 mod cell;
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves.
+//! The `maintenance` commands.
 
 use serde_json::{Value, json};
 
@@ -6,14 +6,14 @@
 use crate::date::format_utc;
 use crate::{CliError, MaintenanceCommand, Output, table};
 
-/// Milliseconds of a second.
+/// Milliseconds in one second.
 const MILLIS_PER_SECOND: u64 = 1_000;
 
 const PATH: &str = "/v1/maintenance";
 
 const OUTAGE_COLUMNS: &[&str] = &["instance", "stage", "incarnation", "fence"];
 
-/// Carries out what operators do with waves, and shows where they stand.
+/// Runs a `maintenance` command and shows the state of the newest wave.
 pub(crate) async fn run(client: &Client, command: MaintenanceCommand) -> Result<Output, CliError> {
     let request = match command {
         MaintenanceCommand::Show => return render(&client.get(PATH).await?),
@@ -59,7 +59,9 @@
     )
 }
 
-/// An outage with the name of its stage, which is text or `{"name": ...}`.
+/// Returns an outage row with the name of its stage as text.
+///
+/// The stage is encoded as `"name"` or, for a stage with data, as `{"name": ...}`.
 fn readable_outage(row: &Value) -> Value {
     let mut readable = row.clone();
     if let Some(name) = row["stage"].as_object().and_then(|s| s.keys().next()) {
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -24,11 +24,11 @@
 use self::ticket::ticket_command;
 pub use self::wait::WaitOptions;
 
-/// Where the small fleet's entry listens for operators.
+/// Default of `--entry`: the admin address of the embedded fleet's entry.
 const DEFAULT_ENTRY: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8081);
 
-/// Rows of a history unless told otherwise.
+/// Default limit on the rows of a history or audit listing.
 const DEFAULT_MAX_ROWS: usize = 20;
 
 /// Operate a cactuswheel fleet
@@ -44,97 +44,97 @@
         fallback(DEFAULT_ENTRY)
     )]
     pub entry: SocketAddr,
-    /// Operator key; better given as CACTUSWHEEL_KEY in the environment, where others do not
-    /// see it
+    /// Operator key; prefer the environment variable CACTUSWHEEL_KEY, which other users cannot
+    /// see
     #[bpaf(long, argument("KEY"), optional)]
     pub key: Option<String>,
     /// Print JSON instead of tables
     #[bpaf(long)]
     pub json: bool,
-    /// What to do
+    /// Command to run
     #[bpaf(external)]
     pub command: Command,
 }
 
-/// What to do.
+/// A command with its options.
 #[derive(Debug, Clone, Bpaf)]
 pub enum Command {
-    /// Change tickets
+    /// Validate, apply and inspect change tickets
     #[bpaf(command)]
     Ticket(#[bpaf(external(ticket_command))] TicketCommand),
-    /// Keys of teams
+    /// List, grant and withdraw team keys
     #[bpaf(command, long("keys"))]
     Key(#[bpaf(external(key_command))] KeyCommand),
-    /// Jobs of a team; takes the team's key
+    /// Submit, show and cancel a team's jobs; needs the team's key
     #[bpaf(command, long("jobs"))]
     Job(#[bpaf(external(job_options))] JobOptions),
-    /// Maintenance waves
+    /// Show and control maintenance waves
     #[bpaf(command)]
     Maintenance(#[bpaf(external(maintenance_command))] MaintenanceCommand),
-    /// Plans of moves between pools
+    /// Show and apply plans to move instances between pools
     #[bpaf(command)]
     Plan(#[bpaf(external(plan_command))] PlanCommand),
-    /// The cell of nodes on the platform; `--entry` takes a node's metrics address
+    /// Show the state of the node cell; `--entry` takes a node's metrics address
     #[bpaf(command)]
     Cell {
-        /// Tell of this job
+        /// Show this job instead of the whole cell
         #[bpaf(long, argument("ID"), optional)]
         job: Option<String>,
     },
-    /// Where entries stand
+    /// Show the status of entries
     #[bpaf(command)]
     Status {
-        /// Admin addresses of more entries, with commas between
+        /// Admin addresses of further entries, separated by commas
         #[bpaf(argument::<String>("ADDR,.."), parse(parse_addrs), fallback(Vec::new()))]
         entries: Vec<SocketAddr>,
     },
-    /// Pools, their sizes and the demand on them
+    /// List pools with their sizes and demand
     #[bpaf(command)]
     Pools,
-    /// Instances as described and as the platform sees them
+    /// List instances with their configuration and their state on the platform
     #[bpaf(command)]
     Instances {
-        /// Only those of one pool
+        /// Only list instances of this pool
         #[bpaf(argument("POOL"), optional)]
         pool: Option<PoolId>,
     },
-    /// Teams, their shares and upper limits
+    /// List teams with their shares and limits
     #[bpaf(command)]
     Teams,
-    /// Who holds how much of each team's limit
+    /// List how each team's limit is divided among the entries
     #[bpaf(command)]
     Allotments,
-    /// Services and their pools
+    /// List services with their pools
     #[bpaf(command)]
     Services,
-    /// Availability budgets and what is left of them
+    /// List availability budgets with their remaining room
     #[bpaf(command)]
     Budgets,
-    /// Data centres
+    /// List data centres
     #[bpaf(command)]
     Dcs,
-    /// Who changed what, and what came of it
+    /// List who changed which object, and the outcome
     #[bpaf(command)]
     Audit {
-        /// Only those on one object, such as pool/render
+        /// Only list changes to this object, such as pool/render
         #[bpaf(argument("KIND/NAME"), optional)]
         object: Option<ObjectId>,
-        /// Most rows
+        /// Maximum number of rows
         #[bpaf(argument("N"), fallback(DEFAULT_MAX_ROWS))]
         max: usize,
     },
-    /// All objects in force, as JSON
+    /// Print all objects in force, as JSON
     #[bpaf(command)]
     Config,
 }
 
-/// Reads addresses with commas between them.
+/// Parses a comma-separated list of addresses.
 pub(crate) fn parse_addrs(text: String) -> Result<Vec<SocketAddr>, String> {
     let addrs = text.split(',').map(|s| parse_addr(s.to_owned()));
     addrs.collect()
 }
 
-/// Reads one address.
+/// Parses an IP address with a port; host names are rejected.
 pub(crate) fn parse_addr(text: String) -> Result<SocketAddr, String> {
     let addr = text.trim().parse();
     addr.map_err(|_| format!("`{text}` is not an IP number with a port, such as 10.0.0.1:8081"))
--- a/crates/cli/src/options/job.rs
+++ b/crates/cli/src/options/job.rs
@@ -8,14 +8,14 @@
 
 use super::parse_addr;
 
-/// Where the small fleet's entry listens for callers.
+/// Default of `--callers`: the callers' address of the embedded fleet's entry.
 const DEFAULT_CALLERS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8080);
 
-/// A team's access to its jobs.
+/// Entry, team key and command for a team's jobs.
 #[derive(Debug, Clone, Bpaf)]
 pub struct JobOptions {
-    /// Address for callers of any entry
+    /// Callers' address of any entry
     #[bpaf(
         long,
         env("CACTUSWHEEL_CALLERS"),
@@ -24,36 +24,36 @@
         fallback(DEFAULT_CALLERS)
     )]
     pub callers: SocketAddr,
-    /// Team key; better given as CACTUSWHEEL_TEAM_KEY in the environment, where others do not
-    /// see it
+    /// Team key; prefer the environment variable CACTUSWHEEL_TEAM_KEY, which other users cannot
+    /// see
     #[bpaf(long, argument("KEY"), optional)]
     pub team_key: Option<String>,
-    /// What to do
+    /// Command to run
     #[bpaf(external(job_command))]
     pub command: JobCommand,
 }
 
-/// What to do with jobs.
+/// Commands on jobs.
 #[derive(Debug, Clone, Bpaf)]
 pub enum JobCommand {
-    /// Hand a job in; the same name again has no further effect
+    /// Submit a job; submitting the same name again has no further effect
     #[bpaf(command)]
     Submit {
-        /// The job, JSON
+        /// Job specification, JSON
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Show where a job stands
+    /// Show the state of a job
     #[bpaf(command)]
     Show {
-        /// Its name
+        /// Name of the job
         #[bpaf(positional("NAME"))]
         name: JobName,
     },
     /// Cancel jobs
     #[bpaf(command)]
     Cancel {
-        /// Their names
+        /// Names of the jobs
         #[bpaf(positional("NAME"), some("at least one NAME"))]
         names: Vec<JobName>,
     },
--- a/crates/cli/src/options/key.rs
+++ b/crates/cli/src/options/key.rs
@@ -5,42 +5,42 @@
 
 use super::wait::{WaitOptions, wait_options};
 
-/// What to do with keys.
+/// Commands on team keys.
 #[derive(Debug, Clone, Bpaf)]
 pub enum KeyCommand {
-    /// List keys by their digests
+    /// List the digests of all keys
     #[bpaf(command)]
     List,
-    /// Make a key for a team, grant it and print it once
+    /// Generate a key for a team, grant it and print it once
     #[bpaf(command)]
     Grant {
-        /// How to wait for the other entries
+        /// Whether and how to wait for the other entries
         #[bpaf(external(wait_options))]
         wait: WaitOptions,
-        /// The team
+        /// Team that gets the key
         #[bpaf(positional("TEAM"))]
         team: TeamId,
     },
-    /// Withdraw a key for good
+    /// Withdraw a key permanently
     #[bpaf(command)]
     Withdraw {
-        /// How to wait for the other entries
+        /// Whether and how to wait for the other entries
         #[bpaf(external(wait_options))]
         wait: WaitOptions,
-        /// The key's digest
+        /// Digest of the key
         #[bpaf(positional("DIGEST"))]
         digest: Digest,
     },
-    /// Withdraw a key at one entry at once, also while the platform is out of reach
+    /// Withdraw a key at one entry immediately, even while the platform is unreachable
     ///
-    /// The entry tells its peers, and the log as soon as it answers.
+    /// The entry notifies its peers, and writes the denial to the log once the log is reachable.
     #[bpaf(command)]
     Deny {
-        /// The key's digest
+        /// Digest of the key
         #[bpaf(positional("DIGEST"))]
         digest: Digest,
     },
-    /// Print the digest of the key that stands on standard input
+    /// Print the digest of the key read from standard input
     #[bpaf(command)]
     Digest,
 }
--- a/crates/cli/src/options/maintenance.rs
+++ b/crates/cli/src/options/maintenance.rs
@@ -3,31 +3,31 @@
 use bpaf::Bpaf;
 use cactuswheel_model::DcId;
 
-/// What to do with maintenance waves.
+/// Commands on maintenance waves.
 #[derive(Debug, Clone, Bpaf)]
 pub enum MaintenanceCommand {
-    /// Show the newest wave, outages under way and why the rest waits
+    /// Show the newest wave, outages in progress and why the other instances wait
     #[bpaf(command)]
     Show,
-    /// Begin the next wave: every instance has its turn within the budgets
+    /// Start the next wave, which reboots every instance within the availability budgets
     #[bpaf(command)]
     Start {
-        /// Drop what is left of the newest wave
+        /// Abandon the rest of the newest wave if it is not complete
         force: bool,
-        /// Data centres that come first, with commas between
+        /// Data centres that come first, separated by commas
         #[bpaf(argument::<String>("DC,.."), parse(parse_dcs), fallback(Vec::new()))]
         order: Vec<DcId>,
     },
-    /// Begin no more outages; those under way end
+    /// Start no further outages; those in progress complete
     #[bpaf(command)]
     Pause,
-    /// Go on
+    /// Resume a paused wave
     #[bpaf(command)]
     Resume,
-    /// Put other data centres first
+    /// Change which data centres come first
     #[bpaf(command)]
     Reorder {
-        /// Data centres that come first, with commas between
+        /// Data centres that come first, separated by commas
         #[bpaf(positional::<String>("DC,.."), parse(parse_dcs))]
         order: Vec<DcId>,
     },
--- a/crates/cli/src/options/plan.rs
+++ b/crates/cli/src/options/plan.rs
@@ -2,13 +2,13 @@
 
 use bpaf::Bpaf;
 
-/// What to do with plans of moves between pools.
+/// Commands on plans to move instances between pools.
 #[derive(Debug, Clone, Bpaf)]
 pub enum PlanCommand {
-    /// Show which instances would be moved now, and moves under way
+    /// Show which instances would be moved now, and the moves in progress
     #[bpaf(command)]
     Show,
-    /// Have the moves carried out, within the budgets
+    /// Carry the planned moves out, within the availability budgets
     #[bpaf(command)]
     Apply,
 }
--- a/crates/cli/src/options/ticket.rs
+++ b/crates/cli/src/options/ticket.rs
@@ -8,55 +8,55 @@
 use super::DEFAULT_MAX_ROWS;
 use super::wait::{WaitOptions, wait_options};
 
-/// What to do with tickets.
+/// Commands on tickets.
 #[derive(Debug, Clone, Bpaf)]
 pub enum TicketCommand {
-    /// Say whether tickets are well formed, without an entry
+    /// Check whether tickets are well formed, without contacting an entry
     #[bpaf(command)]
     Validate {
-        /// Tickets, JSON, in the order in which they will be put in
+        /// Tickets, JSON, in the order in which they will be applied
         #[bpaf(positional("FILE"), some("at least one FILE"))]
         files: Vec<PathBuf>,
     },
-    /// Say what a ticket would come to now, without putting it in
+    /// Show what the outcome of a ticket would be now, without applying it
     #[bpaf(command)]
     Check {
-        /// The ticket, JSON
+        /// Ticket, JSON
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Compare a ticket with what is in force
+    /// Compare a ticket with the objects in force
     #[bpaf(command)]
     Diff {
-        /// The ticket, JSON
+        /// Ticket, JSON
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Put a ticket into force
+    /// Apply a ticket
     #[bpaf(command)]
     Apply {
-        /// How to wait for the other entries
+        /// Whether and how to wait for the other entries
         #[bpaf(external(wait_options))]
         wait: WaitOptions,
-        /// The ticket, JSON
+        /// Ticket, JSON
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Show what came of a ticket
+    /// Show the outcome of a ticket
     #[bpaf(command)]
     Show {
-        /// Its number
+        /// Number of the ticket
         #[bpaf(positional("NUMBER"))]
         number: TicketNo,
     },
-    /// Show what came of the newest tickets
+    /// Show the outcomes of the newest tickets
     #[bpaf(command)]
     History {
-        /// Most rows
+        /// Maximum number of rows
         #[bpaf(argument("N"), fallback(DEFAULT_MAX_ROWS))]
         max: usize,
     },
-    /// Print the next free number
+    /// Print the next free ticket number
     #[bpaf(command)]
     Next,
 }
--- a/crates/cli/src/options/wait.rs
+++ b/crates/cli/src/options/wait.rs
@@ -6,18 +6,18 @@
 
 use super::parse_addrs;
 
-/// Time in which a change has to be in force everywhere, in seconds.
+/// Default time for a change to come into force at every entry, in seconds.
 const DEFAULT_WITHIN_SECS: u64 = 12;
 
-/// Whether and how to wait for the other entries.
+/// Whether and how to wait until a change is in force at every entry.
 #[derive(Debug, Clone, Bpaf)]
 pub struct WaitOptions {
-    /// Say at which entries the change is in force and which did not answer
+    /// Wait, then report where the change is in force and which entries did not answer
     pub wait: bool,
-    /// Ask these admin addresses, with commas between, instead of the entry's peers
+    /// Poll these admin addresses, separated by commas, instead of the entry's peers
     #[bpaf(argument::<String>("ADDR,.."), parse(parse_addrs), fallback(Vec::new()))]
     pub entries: Vec<SocketAddr>,
-    /// Give up after so many seconds
+    /// Stop waiting after this many seconds
     #[bpaf(argument("SECONDS"), fallback(DEFAULT_WITHIN_SECS))]
     pub within: u64,
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,11 +1,11 @@
-//! What a command prints.
+//! Output of a command.
 
 use serde::Serialize;
 use serde_json::Value;
 
 use crate::{CliError, Exit};
 
-/// The result of a command, for people and for scripts.
+/// The result of a command as text and as JSON, with the exit status.
 #[derive(Debug)]
 pub struct Output {
     text: String,
@@ -14,7 +14,7 @@
 }
 
 impl Output {
-    /// A result that is done.
+    /// Creates an output with the exit status [`Exit::Done`].
     pub(crate) fn new(text: impl Into<String>, value: &impl Serialize) -> Result<Self, CliError> {
         let value =
             serde_json::to_value(value).map_err(|e| CliError::InvalidAnswer(e.to_string()))?;
@@ -25,13 +25,13 @@
         })
     }
 
-    /// Ends with another status.
+    /// Sets the exit status.
     pub(crate) fn with_exit(mut self, exit: Exit) -> Self {
         self.exit = exit;
         self
     }
 
-    /// The text for standard output.
+    /// Returns the text for standard output: JSON if `json` is set, else readable text.
     pub fn render(&self, json: bool) -> String {
         match json {
             true => format!("{:#}", self.value),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The exit status.
+    /// Returns the exit status of the process.
     pub fn exit(&self) -> Exit {
         self.exit
     }
--- a/crates/cli/src/page.rs
+++ b/crates/cli/src/page.rs
@@ -1,4 +1,4 @@
-//! The page `docs/CODES.md`, made from the codes themselves.
+//! Generates the page `docs/CODES.md` from the result codes and exit statuses.
 
 use std::ops::Range;
 
@@ -6,10 +6,10 @@
 
 use crate::Exit;
 
-/// The block of codes that only the programs print.
+/// Range of the codes that only programs print; they have no HTTP status.
 const PROGRAM_CODES: Range<u16> = 500..600;
 
-/// The page as it has to stand in `docs/CODES.md`.
+/// Returns the expected content of `docs/CODES.md`.
 pub fn code_page() -> String {
     let mut page = String::from(HEADER);
     for code in Code::ALL {
--- a/crates/cli/src/plan.rs
+++ b/crates/cli/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of moves between pools.
+//! The `plan` commands.
 
 use serde_json::{Value, json};
 
@@ -9,7 +9,7 @@
 const PENDING_COLUMNS: &[&str] = &["instance", "from", "to", "waits"];
 const SHORTAGE_COLUMNS: &[&str] = &["pool", "demand", "safe", "missing"];
 
-/// Shows a plan, or has it carried out.
+/// Shows the current plan, or applies it.
 pub(crate) async fn run(client: &Client, command: PlanCommand) -> Result<Output, CliError> {
     let answer: Value = match command {
         PlanCommand::Show => client.get("/v1/plan").await?,
@@ -40,12 +40,12 @@
     }
 }
 
-/// A table under its name, unless it is empty.
+/// Formats a table under its title; `None` if it has no rows.
 fn section(name: &str, columns: &[&str], rows: &[Value]) -> Option<String> {
     (!rows.is_empty()).then(|| format!("{name}:\n{}", table(columns, rows)))
 }
 
-/// Moves under way, each with why it waits.
+/// Returns the moves in progress, each with the reason why it waits.
 fn pending_moves(answer: &Value) -> Vec<Value> {
     let waits = rows(&answer["waits"]);
     let pending = rows(&answer["wanted"]).iter().enumerate();
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,10 +1,10 @@
-//! Carrying a command out.
+//! Dispatches a parsed command.
 
 use crate::client::Client;
 use crate::{CliError, Command, KeyCommand, Options, Output, TicketCommand};
 use crate::{audit, cell, jobs, keys, maintenance, plan, status, ticket, validate, views};
 
-/// Carries a command out.
+/// Runs a command and returns what it prints.
 pub async fn run(options: Options) -> Result<Output, CliError> {
     let key = key_or_env(options.key, "CACTUSWHEEL_KEY").ok_or(CliError::NoKey);
     let client = || key.map(|key| Client::new(options.entry, key));
@@ -30,9 +30,10 @@
     }
 }
 
-/// A key from the command line or else from the environment.
+/// Returns the key from the command line, or else from the environment variable `name`.
 ///
-/// Not left to the parser of the command line, which shows the environment's values in its help.
+/// The command-line parser must not read the variable itself: its help text shows the values of
+/// environment variables and would print the key.
 pub(crate) fn key_or_env(key: Option<String>, name: &str) -> Option<String> {
     key.or_else(|| std::env::var(name).ok())
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! Where entries stand.
+//! The `status` command.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,13 +9,16 @@
 use crate::client::Client;
 use crate::{CliError, Exit, Output, table};
 
-/// Time for an entry to say where it stands.
+/// Timeout of one status request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 const ENTRY_COLUMNS: &[&str] = &["addr", "entry", "dc", "ready", "next", "upstreams", "error"];
 const PEER_COLUMNS: &[&str] = &["entry", "next", "age_ms"];
 
-/// Shows the client's entry and `others`; those that give no answer have an error instead.
+/// Shows the status of the client's entry and of `others`.
+///
+/// With `others` given, a row shows an error in place of the status of an entry that could not be
+/// queried. Without them, such a failure fails the command.
 pub(crate) async fn show(client: &Client, others: &[SocketAddr]) -> Result<Output, CliError> {
     if others.is_empty() {
         let status: Value = client.get("/v1/status").await?;
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,8 +1,8 @@
-//! Readable tables.
+//! Formats tables.
 
 use serde_json::Value;
 
-/// Lays `rows` out under `columns`, which are names of fields.
+/// Formats `rows` as a table with a header line; `columns` are the names of the fields to show.
 pub fn table(columns: &[&str], rows: &[Value]) -> String {
     let head: Vec<String> = columns.iter().map(|c| c.replace('_', "-")).collect();
     let body = rows
@@ -23,7 +23,7 @@
     format!("{}\n", text.trim_end())
 }
 
-/// One value as a person reads it.
+/// Formats one value: `-` for null or empty, `yes` and `no` for booleans, lists with commas.
 pub(crate) fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
--- a/crates/cli/src/ticket.rs
+++ b/crates/cli/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets at an entry.
+//! The `ticket` commands.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 
 const OUTCOME_COLUMNS: &[&str] = &["ticket", "code", "offset", "detail"];
 
-/// Carries out what needs an entry, and `validate`.
+/// Runs a `ticket` command.
 pub(crate) async fn run(client: &Client, command: TicketCommand) -> Result<Output, CliError> {
     match command {
         TicketCommand::Validate { files } => validate::validate(&files),
@@ -40,19 +40,19 @@
     }
 }
 
-/// Puts a ticket in; its outcome once the entry has read it back.
+/// Submits a ticket; returns its outcome once the entry has read it back from the log.
 pub(crate) async fn submit(client: &Client, ticket: &Ticket) -> Result<Outcome, CliError> {
     client.post("/v1/tickets", ticket).await
 }
 
-/// The next free number.
+/// Returns the next free ticket number.
 pub(crate) async fn next_number(client: &Client) -> Result<u64, CliError> {
     let answer: Value = client.get("/v1/tickets/next").await?;
-    let missing = || CliError::InvalidAnswer("no number in it".into());
+    let missing = || CliError::InvalidAnswer("it has no ticket number".into());
     answer["ticket"].as_u64().ok_or_else(missing)
 }
 
-/// One line on a ticket that holds.
+/// Returns the line that reports an applied ticket.
 pub(crate) fn in_force_line(outcome: &Outcome) -> String {
     let Outcome { ticket, offset, .. } = outcome;
     format!("ticket {ticket} in force at offset {offset}\n")
--- a/crates/cli/src/validate.rs
+++ b/crates/cli/src/validate.rs
@@ -1,4 +1,4 @@
-//! Looking at tickets without an entry.
+//! Validates tickets without contacting an entry.
 
 use std::path::{Path, PathBuf};
 
@@ -9,17 +9,18 @@
 use crate::files::read_ticket;
 use crate::{CliError, Output};
 
-/// What can be said of one file.
+/// Result for one valid file.
 #[derive(Serialize)]
 struct Validated {
     file: PathBuf,
     ticket: u64,
     changes: usize,
-    /// What it refers to beyond the files before it; only an entry knows whether that exists.
+    /// A reference to an object that no earlier file adds; only an entry knows whether the object
+    /// exists.
     needs: Option<String>,
 }
 
-/// Reads tickets and applies them in order to an empty fleet.
+/// Reads tickets and applies them in order to the state of an empty fleet.
 pub(crate) fn validate(files: &[PathBuf]) -> Result<Output, CliError> {
     let mut state = State::default();
     let rows = files
--- a/crates/cli/src/views.rs
+++ b/crates/cli/src/views.rs
@@ -1,4 +1,4 @@
-//! Lists of objects.
+//! Commands that list objects.
 
 use cactuswheel_model::PoolId;
 use serde_json::{Value, json};
@@ -6,13 +6,13 @@
 use crate::client::{Client, items};
 use crate::{CliError, Output, table};
 
-/// A list and the columns shown of it.
+/// Path of a list in the admin API and the columns to print.
 pub(crate) struct View {
     path: &'static str,
     columns: &'static [&'static str],
 }
 
-/// Pools.
+/// The list of pools.
 pub(crate) const POOLS: View = View {
     path: "/v1/pools",
     columns: &[
@@ -26,19 +26,19 @@
     ],
 };
 
-/// Teams.
+/// The list of teams.
 pub(crate) const TEAMS: View = View {
     path: "/v1/teams",
     columns: &["id", "share", "limit"],
 };
 
-/// Services.
+/// The list of services.
 pub(crate) const SERVICES: View = View {
     path: "/v1/services",
     columns: &["id", "pool", "demand", "max_down"],
 };
 
-/// Availability budgets.
+/// The list of availability budgets.
 pub(crate) const BUDGETS: View = View {
     path: "/v1/budgets",
     columns: &[
@@ -52,13 +52,13 @@
     ],
 };
 
-/// Data centres.
+/// The list of data centres.
 pub(crate) const DCS: View = View {
     path: "/v1/dcs",
     columns: &["id", "region"],
 };
 
-/// Keys.
+/// The list of team keys.
 pub(crate) const KEYS: View = View {
     path: "/v1/keys",
     columns: &["digest", "team", "withdrawn"],
@@ -73,13 +73,13 @@
 
 const ALLOTMENT_COLUMNS: &[&str] = &["team", "limit", "life", "cap", "occupied", "want", "open"];
 
-/// Shows a list.
+/// Fetches a list and prints it as a table.
 pub(crate) async fn list(client: &Client, view: &View) -> Result<Output, CliError> {
     let list: Value = client.get(view.path).await?;
     Output::new(table(view.columns, items(&list)), &list)
 }
 
-/// Shows instances, of one pool if it is given.
+/// Lists instances; only those of `pool` if it is given.
 pub(crate) async fn instances(client: &Client, pool: Option<PoolId>) -> Result<Output, CliError> {
     let mut list: Value = client.get(INSTANCES.path).await?;
     if let (Some(pool), Some(rows)) = (pool, list["items"].as_array_mut()) {
@@ -88,14 +88,14 @@
     Output::new(table(INSTANCES.columns, items(&list)), &list)
 }
 
-/// Shows who holds how much of each team's limit, one row an entry.
+/// Shows how each team's limit is divided, with one row for each team and entry.
 pub(crate) async fn allotments(client: &Client) -> Result<Output, CliError> {
     let list: Value = client.get("/v1/allotments").await?;
     let rows: Vec<_> = items(&list).iter().flat_map(entry_rows).collect();
     Output::new(table(ALLOTMENT_COLUMNS, &rows), &list)
 }
 
-/// The rows of one team's entries.
+/// Returns one row for each entry of a team, with the team's name and limit added.
 fn entry_rows(team: &Value) -> Vec<Value> {
     let entries = team["entries"].as_array().map_or(&[][..], Vec::as_slice);
     let rows = entries.iter().map(|entry| {
@@ -107,7 +107,7 @@
     rows.collect()
 }
 
-/// Shows all objects.
+/// Prints all objects in force as JSON.
 pub(crate) async fn config(client: &Client) -> Result<Output, CliError> {
     let config: Value = client.get("/v1/config").await?;
     Output::new(format!("{config:#}"), &json!(config))
--- a/crates/cli/src/wait.rs
+++ b/crates/cli/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting until a change is in force at every entry.
+//! Waits until a change is in force at every entry.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 use crate::client::Client;
 use crate::{CliError, Exit, Output, WaitOptions, table};
 
-/// Pause between two questions.
+/// Pause between two status requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for an entry to say where it stands.
+/// Timeout of one status request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A peer that was not heard for so long counts as not answering, in milliseconds.
+/// Age of a peer's last message after which it is reported as not answering, in milliseconds.
 const PEER_TIMEOUT_MS: u64 = 5_000;
 
 const ENTRY_COLUMNS: &[&str] = &["entry", "in_force", "next", "error"];
 
-/// Waits, if `--wait` is given, and ends the command.
+/// Returns the command's output, after waiting for the other entries if `--wait` is given.
 pub(crate) async fn finish(
     client: &Client,
     wait: &WaitOptions,
@@ -33,7 +33,7 @@
     finish_with(client, wait, outcome, text, outcome).await
 }
 
-/// Like [`finish`], with another value for `--json`.
+/// Like [`finish`], with `value` instead of the outcome for `--json`.
 pub(crate) async fn finish_with(
     client: &Client,
     wait: &WaitOptions,
@@ -65,7 +65,7 @@
     rows.iter().all(|row| row["in_force"] == true)
 }
 
-/// Asks each entry itself until it has gone past `offset`.
+/// Polls each address in `wait.entries` until it has applied the record at `offset`.
 async fn poll_entries(
     client: &Client,
     wait: &WaitOptions,
@@ -96,7 +96,8 @@
     }
 }
 
-/// Asks one entry where it and its peers stand, until all have gone past `offset`.
+/// Polls one entry for its own position and its peers' until all have applied the record at
+/// `offset`.
 async fn poll_peers(client: &Client, offset: Offset, deadline: Instant) -> Vec<Value> {
     let client = client.clone().with_timeout(REQUEST_TIMEOUT);
     loop {
@@ -134,7 +135,8 @@
 fn peer_row(peer: &Value, offset: Offset) -> Value {
     let mut row = entry_row(peer, offset);
     let age = peer["age_ms"].as_u64().unwrap_or(u64::MAX);
-    // What it confirmed before it fell silent stays true: an entry never goes back.
+    // A change that a peer confirmed before it stopped answering stays in force there, because
+    // the position of an entry in the log never decreases.
     if row["in_force"] == false && age > PEER_TIMEOUT_MS {
         row["error"] = json!(format!("not heard for {} s", age / 1000));
     }
--- a/crates/cli/tests/codes.rs
+++ b/crates/cli/tests/codes.rs
@@ -1,4 +1,4 @@
-//! The page of result codes.
+//! Checks that `docs/CODES.md` matches the result codes and that each code is documented.
 
 use std::path::Path;
 
--- a/crates/cli/tests/diff.rs
+++ b/crates/cli/tests/diff.rs
@@ -1,4 +1,4 @@
-//! Tickets beside what is in force.
+//! Tests of the comparison between a ticket and the objects in force.
 
 use std::fs;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use cactuswheel_model::{Record, Ticket};
 use serde_json::{Value, json};
 
-/// What `changes` would do to a fleet with a pool `render` and a team `ads`.
+/// Compares a ticket with `changes` to a fleet that has a pool `render` and a team `ads`.
 fn rows(changes: Value) -> Vec<DiffRow> {
     let mut state = State::default();
     let first = json!({"ticket": {"ticket": 1, "changes": [
@@ -46,7 +46,7 @@
 
 #[test]
 fn applied_same() {
-    // What a ticket described is in force: beside that the ticket changes nothing.
+    // Comparing a ticket with the state after it was applied shows no difference.
     let mut state = State::default();
     for file in ["platno/1-objects.json", "platno/2-instances.json"] {
         let path = Path::new(env!("CARGO_MANIFEST_DIR"))
--- a/crates/cli/tests/options.rs
+++ b/crates/cli/tests/options.rs
@@ -1,4 +1,4 @@
-//! The command line's shape.
+//! Tests of command-line parsing.
 
 use cactuswheel_cli::{Command, TicketCommand, options};
 
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Readable tables.
+//! Tests of table formatting.
 
 use cactuswheel_cli::table;
 use serde_json::json;
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of an upstream, whole or cut short.
+//! Response bodies of an upstream, complete or truncated.
 
 use std::io;
 use std::pin::Pin;
@@ -7,21 +7,21 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 
-/// A body that says how long it is and may break off before that.
+/// A response body that may end with a connection reset before its declared length.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// What is still to be sent.
+    /// Bytes still to be sent.
     rest: Bytes,
-    /// What its header says, in bytes; none for chunks.
+    /// Declared content length in bytes; `None` for chunked encoding.
     len: Option<u64>,
-    /// Whether it breaks off after `rest`.
+    /// Whether the connection is reset after `rest`.
     truncated: bool,
-    /// Whether what comes before the break is out.
+    /// Whether the connection had a chance to flush the bytes before the reset.
     flushed: bool,
 }
 
 impl Answer {
-    /// All of `body`.
+    /// Creates an answer that sends all of `body`.
     pub(crate) fn whole(body: Bytes) -> Self {
         Self {
             len: Some(body.len() as u64),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The first `sent` bytes of `body` and no end.
+    /// Creates an answer that sends the first `sent` bytes of `body`, then resets the connection.
     pub(crate) fn truncated(body: Bytes, sent: usize) -> Self {
         Self {
             len: Some(body.len() as u64),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends chunks instead of saying how long it is.
+    /// Uses chunked encoding instead of a declared length.
     pub(crate) fn with_chunks(mut self) -> Self {
         self.len = None;
         self
@@ -61,7 +61,8 @@
             return Poll::Ready(Some(Ok(Frame::data(rest))));
         }
         if self.truncated && !self.flushed {
-            // What was sent so far goes out while this body waits.
+            // Returns pending once, so that the connection flushes the bytes sent so far before
+            // the reset.
             self.flushed = true;
             cx.waker().wake_by_ref();
             return Poll::Pending;
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,15 +1,15 @@
-//! Faults of the platform.
+//! Injected faults of the platform.
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with the platform just now.
+/// Faults that the platform currently shows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Every call is refused without effect.
+    /// Whether every call is refused without effect.
     pub down: bool,
-    /// Appends take effect but their answers are lost.
+    /// Whether appends take effect but answer with an error, as if the answer was lost.
     pub deaf: bool,
-    /// Every answer comes this much later than its effect, in milliseconds.
+    /// Delay between the effect of a call and its answer, in milliseconds.
     pub slow: u64,
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,6 @@
-//! Small stand-ins for what cactuswheel meets outside itself: the platform and upstreams.
+//! In-memory substitutes for the systems that cactuswheel depends on: the platform and upstreams.
 //!
-//! For tests and for the embedded default only. They keep everything in memory, and their
-//! faults are switched over HTTP by whoever tests.
+//! For tests and for the embedded default mode only. Tests inject faults over HTTP.
 
 mod answer;
 mod fault;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -6,23 +6,23 @@
 use cactuswheel_platform::{Batch, Entry};
 use tokio::sync::watch;
 
-/// Records with limited retention.
+/// A log stream that keeps a limited number of records.
 #[derive(Debug)]
 pub(crate) struct Log {
-    /// Invariant: consecutive offsets.
+    /// Retained records. Invariant: their offsets are consecutive.
     entries: VecDeque<Entry>,
-    /// Offset of the next append.
+    /// Offset that the next appended record gets.
     head: Offset,
-    /// Most records kept.
+    /// Maximum number of retained records.
     capacity: usize,
-    /// Calls of `append` so far.
+    /// Number of calls of `append` so far.
     appends: u64,
-    /// Tells readers that wait for the head to move.
+    /// Notifies waiting readers of a new head.
     head_sender: watch::Sender<Offset>,
 }
 
 impl Log {
-    /// An empty stream that keeps `kept` records.
+    /// Creates an empty stream that keeps the newest `capacity` records.
     pub(crate) fn new(capacity: usize) -> Self {
         let (head_sender, _) = watch::channel(Offset::default());
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Appends `bodies`; the offset of the first.
+    /// Appends `bodies`; returns the offset of the first one.
     pub(crate) fn append(&mut self, bodies: Vec<String>) -> Offset {
         let first = self.head;
         self.appends += 1;
@@ -51,7 +51,7 @@
         first
     }
 
-    /// Up to `max` records from `from` on.
+    /// Reads up to `max` records from `from` on; none if `from` is already trimmed.
     pub(crate) fn read(&self, from: Offset, max: usize) -> Batch {
         let first = self.first();
         let skip = from.get().saturating_sub(first.get()) as usize;
@@ -66,18 +66,18 @@
         }
     }
 
-    /// Drops the oldest records but the last `kept`, as time would.
+    /// Drops all but the newest `kept` records, as retention would.
     pub(crate) fn trim(&mut self, kept: usize) {
         let surplus = self.entries.len().saturating_sub(kept);
         self.entries.drain(..surplus);
     }
 
-    /// Calls of `append` so far.
+    /// Returns the number of calls of `append` so far.
     pub(crate) fn appends(&self) -> u64 {
         self.appends
     }
 
-    /// Tells when the head moves.
+    /// Returns a receiver that is notified when the head changes.
     pub(crate) fn watch_head(&self) -> watch::Receiver<Offset> {
         self.head_sender.subscribe()
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::net::SocketAddr;
 
@@ -9,29 +9,29 @@
 use cactuswheel_standin::{Platform, Upstream};
 use tokio::net::TcpListener;
 
-/// Stand-ins for tests: the platform, or an upstream.
+/// Stand-in of the platform or of an upstream, for tests
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Role {
-    /// Serves log, roster and their faults
+    /// Serve the log, the roster, worker control and the fault switches
     #[bpaf(command)]
     Platform {
-        /// Where to listen
+        /// Address to listen on
         listen: SocketAddr,
     },
-    /// Serves requests and lists itself in the roster
+    /// Register in the roster and serve requests
     #[bpaf(command)]
     Upstream {
-        /// Where to listen
+        /// Address to listen on
         listen: SocketAddr,
-        /// Name of its instance
+        /// Name of the instance
         id: InstanceId,
-        /// Where the platform listens
+        /// Address of the platform
         platform: SocketAddr,
-        /// Which life of the instance this is
+        /// Incarnation of the instance
         #[bpaf(fallback(Incarnation::new(1)))]
         incarnation: Incarnation,
-        /// Requests that it runs at once; further ones it refuses
+        /// Maximum number of concurrent requests; further ones are refused
         slots: Option<usize>,
     },
 }
--- a/crates/standin/src/request_fault.rs
+++ b/crates/standin/src/request_fault.rs
@@ -1,24 +1,24 @@
-//! Faults of an upstream, asked for by a request's header `x-fault`.
+//! Faults of an upstream, injected by a request's header `x-fault`.
 
 use std::str::FromStr;
 
-/// What goes wrong with one request.
+/// Fault to inject into one request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum RequestFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// `refuse`: it says that it did not run the request.
+    /// `refuse`: the upstream answers that it did not run the request.
     Refuse,
-    /// `reset-before`: the connection closes and nothing runs.
+    /// `reset-before`: the connection closes before the request runs.
     ResetBefore,
-    /// `reset-after`: it runs, and the connection closes without an answer.
+    /// `reset-after`: the request runs, and the connection closes without an answer.
     ResetAfter,
-    /// `early`: it answers before it has read the body, which it then never reads.
+    /// `early`: the upstream answers without reading the request body.
     Early,
-    /// `short=N`: only N bytes of the answer's body come.
+    /// `short=N`: the connection closes after the first N bytes of the answer's body.
     Truncated(usize),
-    /// `chunks=N`: the same for a body in chunks, whose end is not sent.
+    /// `chunks=N`: like `short=N`, but with chunked encoding and no final chunk.
     TruncatedChunks(usize),
 }
 
--- a/crates/standin/src/roster.rs
+++ b/crates/standin/src/roster.rs
@@ -1,4 +1,4 @@
-//! The list of instances, with what changed lately.
+//! The roster: the list of instances and its recent changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -6,20 +6,21 @@
 use cactuswheel_model::InstanceId;
 use cactuswheel_platform::{Changes, Sighting};
 
-/// Changes remembered; whoever is further behind gets the whole list.
+/// Number of changes kept; a client that is further behind gets the whole list.
 const MAX_CHANGES: usize = 10_000;
 
-/// Instances, and the names of those that changed since a version.
+/// Listed instances, with a history of changed names to answer with changes since a version.
 #[derive(Debug)]
 pub(crate) struct Roster {
     rows: BTreeMap<InstanceId, Sighting>,
-    /// Names in the order of their changes.
+    /// Names of changed instances, oldest change first.
     ///
-    /// Invariant: the last one is change number `count`.
+    /// Invariant: the last element is change number `count`.
     changed: VecDeque<InstanceId>,
-    /// Changes since the start.
+    /// Number of changes since this roster was created.
     count: u64,
-    /// Tells one start from another; versions of another start mean nothing.
+    /// Creation time in nanoseconds since 1970. It is part of each version, so that versions from
+    /// an earlier start of the platform are recognised as invalid.
     start: u128,
 }
 
@@ -36,12 +37,12 @@
 }
 
 impl Roster {
-    /// How an instance is listed.
+    /// Returns the listing of an instance.
     pub(crate) fn get(&self, id: &InstanceId) -> Option<&Sighting> {
         self.rows.get(id)
     }
 
-    /// Lists an instance.
+    /// Adds or updates an instance; an identical listing does not count as a change.
     pub(crate) fn insert(&mut self, id: InstanceId, sighting: Sighting) {
         if self.rows.get(&id) != Some(&sighting) {
             self.record_change(id.clone());
@@ -49,17 +50,17 @@
         }
     }
 
-    /// Drops an instance from the list.
+    /// Removes an instance and returns its last listing.
     pub(crate) fn remove(&mut self, id: &InstanceId) -> Option<Sighting> {
         let sighting = self.rows.remove(id)?;
         self.record_change(id.clone());
         Some(sighting)
     }
 
-    /// What changed since a version, or the whole list if that is not known any more.
+    /// Returns the changes since a version, or the whole list if the version is unknown or too old.
     pub(crate) fn changes(&self, since: &str) -> Changes {
         let version = format!("{:x}-{}", self.start, self.count);
-        let Some(changes) = self.changes_since(since) else {
+        let Some(changed_ids) = self.changes_since(since) else {
             let listed = self.rows.values().cloned().collect();
             return Changes {
                 version,
@@ -68,7 +69,7 @@
                 gone: Vec::new(),
             };
         };
-        let mut names: Vec<_> = changes.collect();
+        let mut names: Vec<_> = changed_ids.collect();
         names.sort();
         names.dedup();
         let (listed, gone): (Vec<_>, Vec<_>) = names
--- a/crates/standin/src/run.rs
+++ b/crates/standin/src/run.rs
@@ -1,14 +1,14 @@
-//! What an upstream remembers of a request.
+//! Record of a request that an upstream ran.
 
 use serde::{Deserialize, Serialize};
 
 /// A request that an upstream ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The request's id, as the caller or the entry gave it.
+    /// Request ID set by the caller or the entry.
     pub request: String,
-    /// The team that the entry named.
+    /// Team named by the entry.
     pub team: String,
-    /// Requests of that team that ran at the same time, itself included.
+    /// Number of requests of that team running when this one started, including this one.
     pub beside: u32,
 }
--- a/crates/standin/src/tasks.rs
+++ b/crates/standin/src/tasks.rs
@@ -1,4 +1,4 @@
-//! TaskRunner' stand-in: runs tasks as their payloads say.
+//! Stand-in of the workers: runs tasks as scripted by their payloads.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,21 +15,21 @@
 
 use crate::Platform;
 
-/// What a payload tells the stand-in's worker to do, as JSON.
+/// Script of a simulated task, sent as its JSON payload.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TaskScript {
-    /// How long the task runs, in milliseconds.
+    /// Duration of the task in milliseconds.
     pub run: u64,
-    /// Whether it fails at its end.
+    /// Whether the task fails at its end.
     pub fail: bool,
-    /// Cores that it really takes up; 0 for as many as it may.
+    /// Cores reported as used; 0 to report all cores reserved for the task.
     pub cores: u32,
-    /// Whether it stores a checkpoint when it is stopped.
+    /// Whether the task reports a checkpoint when it is stopped.
     pub checkpoint: bool,
 }
 
-/// Runs tasks, each attempt at most once in one life of a worker.
+/// Runs tasks, each attempt at most once and only in the worker incarnation that its order names.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TaskRunner {
     inner: Arc<Mutex<Inner>>,
@@ -37,23 +37,23 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Attempts that were started or kept from starting, with their state.
+    /// State of each attempt that was started, or that was stopped before it started.
     tasks: BTreeMap<TaskId, watch::Sender<RunState>>,
-    /// TaskRunner that fail whatever they start.
+    /// Workers on which every task fails.
     broken: Vec<InstanceId>,
 }
 
-/// State of a running task.
+/// Lease and stop request of an attempt.
 #[derive(Debug, Clone, Copy)]
 struct RunState {
-    /// End of its lease.
+    /// End of the lease.
     lease_end: Instant,
-    /// Whether it is to stop.
+    /// Whether the attempt was asked to stop.
     stop: bool,
 }
 
 impl TaskRunner {
-    /// Answers worker control's calls.
+    /// Serves the calls that start, renew, stop and break tasks.
     pub(crate) async fn answer(&self, platform: &Platform, request: Request<Incoming>) -> Reply {
         let action = request
             .uri()
@@ -117,7 +117,8 @@
                 sender.send_modify(|state| state.stop = true);
                 continue;
             }
-            // It never started, and a start that comes late finds this and is not carried out.
+            // The attempt has not started. The state inserted here makes a start that arrives later
+            // a no-op.
             let state = RunState {
                 lease_end: Instant::now(),
                 stop: true,
@@ -151,11 +152,11 @@
     } else {
         work(&script, &mut state).await
     };
-    // A reboot ends what ran without a word.
+    // A task ended by a reboot or a loss of its worker sends no reports.
     if platform.incarnation(&order.worker) != Some(order.incarnation) {
         return;
     }
-    let report = |news| {
+    let send_report = |news| {
         platform.report(&TaskReport {
             task: order.task.clone(),
             news,
@@ -166,20 +167,20 @@
     } else {
         Cores::new(script.cores)
     };
-    report(TaskNews::Usage(Room {
+    send_report(TaskNews::Usage(Room {
         cores,
         ..order.room
     }));
     if end == AttemptEnd::Stopped && script.checkpoint {
-        report(TaskNews::Checkpoint(format!(
+        send_report(TaskNews::Checkpoint(format!(
             "after attempt {}",
             order.task.attempt
         )));
     }
-    report(TaskNews::Ended(end));
+    send_report(TaskNews::Ended(end));
 }
 
-/// Works until the end, a stop, or the end of the lease.
+/// Waits until the task is finished or stopped, or its lease expires.
 async fn work(script: &TaskScript, state: &mut watch::Receiver<RunState>) -> AttemptEnd {
     let done = Instant::now() + Duration::from_millis(script.run);
     loop {
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream's stand-in: echoes bodies and remembers what it ran.
+//! Stand-in of an upstream: echoes request bodies and records the requests that it ran.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -21,38 +21,39 @@
 use crate::answer::Answer;
 use crate::request_fault::RequestFault;
 
-/// An upstream in memory.
+/// An in-memory upstream.
 ///
-/// `GET /runs` lists what it ran, `GET /running` counts what runs now, `POST /leave` lets it say from then on that it leaves; every
-/// other path echoes the request's body after as many milliseconds as the header `x-sleep-ms`
-/// says, with the fault that `x-fault` asks for.
+/// `GET /runs` lists the requests that ran, `GET /running` returns the number of running requests,
+/// and after `POST /leave` all further answers announce that the upstream is leaving. Every other
+/// path echoes the request body after a delay of `x-sleep-ms` milliseconds, with the fault named
+/// in `x-fault`.
 #[derive(Debug, Clone, Default)]
 pub struct Upstream {
     name: Arc<str>,
-    /// Requests that it runs at once; any number if none is given.
+    /// Maximum number of concurrent requests; `None` for no limit.
     slots: Option<usize>,
-    /// Whether it keeps no record.
+    /// Whether requests are not recorded.
     unrecorded: bool,
     inner: Arc<Mutex<Inner>>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Requests that came, whatever became of them.
+    /// Number of requests received, whatever their outcome.
     received: u64,
-    /// Added to every run.
+    /// Delay added to every run.
     delay: Duration,
-    /// Whether every request's connection is closed without an answer.
+    /// Whether the connection of every request is closed without an answer.
     broken: bool,
     runs: Vec<Run>,
     running: BTreeMap<String, u32>,
-    /// Running requests of all teams.
+    /// Number of running requests of all teams.
     total: usize,
     leaving: bool,
 }
 
 impl Upstream {
-    /// An upstream that names itself in the header `x-upstream`.
+    /// Creates an upstream that puts `name` into the header `x-upstream` of its answers.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.into(),
@@ -62,45 +63,46 @@
         }
     }
 
-    /// Refuses what comes while it runs `slots` requests.
+    /// Refuses further requests while `slots` requests are running.
     pub fn with_slots(mut self, slots: usize) -> Self {
         self.slots = Some(slots);
         self
     }
 
-    /// Remembers nothing of what it ran, for long loads.
+    /// Keeps no record of requests, to bound memory in long load tests.
     pub fn without_record(mut self) -> Self {
         self.unrecorded = true;
         self
     }
 
-    /// Takes `delay` longer for every request from now on.
+    /// Delays every request from now on by `delay`.
     pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
 
-    /// Closes the connection of every request from now on, or no longer does.
+    /// Sets whether the connection of every request is closed without an answer.
     pub fn set_broken(&self, broken: bool) {
         self.lock().broken = broken;
     }
 
-    /// How many requests came, whatever became of them.
+    /// Returns the number of requests received, whatever their outcome.
     pub fn received(&self) -> u64 {
         self.lock().received
     }
 
-    /// What it ran.
+    /// Returns the recorded requests.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// Answers on `listener` until the task is dropped.
+    /// Serves requests on `listener` until the task is dropped.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            // Small answers would otherwise wait for the entry's delayed acknowledgement.
+            // Otherwise Nagle's algorithm holds small answers back until the entry's delayed
+            // acknowledgement.
             let _ = stream.set_nodelay(true);
             let upstream = self.clone();
             let service = service_fn(move |request| upstream.clone().answer(request));
@@ -113,12 +115,12 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Requests that run now.
+    /// Returns the number of running requests.
     fn running(&self) -> u32 {
         self.lock().running.values().sum()
     }
 
-    /// An error closes the connection without an answer.
+    /// Answers one request; an error closes the connection without an answer.
     async fn answer(self, request: Request<Incoming>) -> io::Result<Response<Answer>> {
         match request.uri().path() {
             "/runs" => return Ok(json(&self.lock().runs)),
@@ -137,7 +139,7 @@
         if broken {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        // A task of its own: a request that runs goes on when its connection is closed.
+        // Runs in a separate task, so that a running request continues when its connection closes.
         let upstream = self.clone();
         let run = tokio::spawn(async move { upstream.run(request).await });
         let answer = run.await.map_err(io::Error::other)?;
@@ -161,7 +163,8 @@
             }
             _ => {}
         }
-        // Read whole before it counts as run: a request cut short is not one.
+        // Reads the whole body first, because a request with a truncated body does not count as
+        // run.
         let Ok(body) = request.into_body().collect().await else {
             return Ok(text(StatusCode::BAD_REQUEST, "body cut short"));
         };
@@ -194,14 +197,14 @@
     }
 }
 
-/// Counts a request while it runs.
+/// Counts a request as running until dropped.
 struct Running<'a> {
     upstream: &'a Upstream,
     team: String,
 }
 
 impl<'a> Running<'a> {
-    /// Starts a request, unless `slots` are taken.
+    /// Starts and records a request; `None` if `slots` requests are already running.
     fn start(
         upstream: &'a Upstream,
         request: String,
--- a/crates/standin/src/workers.rs
+++ b/crates/standin/src/workers.rs
@@ -1,4 +1,4 @@
-//! Worker control's stand-in: drains, reboots, losses, and a record of them.
+//! Stand-in of worker control: drains, reboots and losses of instances, with a history of outages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,42 +9,43 @@
 
 use crate::roster::Roster;
 
-/// How reboots go.
+/// Behaviour of reboots.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RebootSettings {
-    /// Time until an instance is back, in milliseconds.
+    /// Duration of a reboot in milliseconds.
     pub millis: u64,
-    /// Instances that do not come back.
+    /// Instances that do not come back after a reboot.
     pub stuck: BTreeSet<InstanceId>,
 }
 
-/// An instance that went down or came back.
+/// History record of an instance that went down or came back.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outage {
     /// The instance.
     pub instance: InstanceId,
-    /// Its life before it went down, or the new one.
+    /// The incarnation that went down, or the new one that came back.
     pub incarnation: Incarnation,
-    /// Whether it went down here.
+    /// Whether the instance went down, rather than came back.
     pub down: bool,
-    /// Whether by a reboot that was ordered.
+    /// Whether the outage was an ordered reboot, rather than a loss.
     pub planned: bool,
-    /// Instances down just after, by reboots.
+    /// Number of instances down because of reboots just after this event.
     pub rebooting: usize,
-    /// Instances down just after, by losses.
+    /// Number of instances down because of losses just after this event.
     pub lost: usize,
-    /// What ran on it when it went down, if it said.
+    /// Number of requests running on the instance when it went down, if it reported one.
     pub running: Option<u32>,
 }
 
-/// Worker control in memory; the roster holds the workers that are up.
+/// In-memory worker control; workers that are up are in the roster.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerControl {
     pub(crate) settings: RebootSettings,
-    /// Instances that are down, as they were listed.
+    /// Instances that are down, with their last listing and the cause.
     down: BTreeMap<InstanceId, (Sighting, Cause)>,
-    /// Highest grant that was resumed.
+    /// Fencing token of the last resume of each instance; orders with this or a lower token are
+    /// refused.
     resumed: BTreeMap<InstanceId, Offset>,
     drained: BTreeMap<InstanceId, Offset>,
     pub(crate) history: Vec<Outage>,
@@ -66,7 +67,7 @@
 }
 
 impl WorkerControl {
-    /// What an instance does.
+    /// Returns the state of an instance; `None` if it is unknown.
     pub(crate) fn state(&self, id: &InstanceId, roster: &Roster) -> Option<WorkerState> {
         let down = self.down.get(id).map(|(s, _)| (s, Activity::Down));
         let drained = self.drained.get(id).copied();
@@ -82,10 +83,10 @@
         })
     }
 
-    /// Keeps work from an instance.
+    /// Marks an instance as draining, so that it gets no new work.
     ///
-    /// The roster goes on listing it as live: what leaves there leaves for good, and a drain
-    /// may be given up.
+    /// The roster still lists the instance as live: leaving the roster is final for an
+    /// incarnation, whereas a drain can be cancelled.
     pub(crate) fn drain(
         &mut self,
         id: &InstanceId,
@@ -97,7 +98,7 @@
         Ok(())
     }
 
-    /// Lets an instance take work again.
+    /// Ends a drain, so that the instance gets work again.
     pub(crate) fn resume(
         &mut self,
         id: &InstanceId,
@@ -110,10 +111,10 @@
         Ok(())
     }
 
-    /// Takes an instance down; the time until it is back, if it comes back.
+    /// Takes an instance down; returns the time until it is back, or `None` if it stays down.
     ///
-    /// The order is bound to the life that it names: one sent late, after the reboot, must
-    /// not take down the next life.
+    /// The order only applies to the incarnation that it names. Otherwise an order delayed until
+    /// after the reboot would take down the next incarnation.
     pub(crate) fn reboot(
         &mut self,
         id: &InstanceId,
@@ -127,12 +128,12 @@
         Ok(returns.then_some(Duration::from_millis(self.settings.millis)))
     }
 
-    /// Loses an instance without a plan.
+    /// Takes an instance down as an unplanned loss.
     pub(crate) fn mark_lost(&mut self, id: &InstanceId, roster: &mut Roster) {
         self.take_down(id, Cause::Loss, None, roster);
     }
 
-    /// Brings an instance back in its next life.
+    /// Brings an instance that is down back up with the next incarnation.
     pub(crate) fn restore(&mut self, id: &InstanceId, roster: &mut Roster) {
         let Some((mut sighting, cause)) = self.down.remove(id) else {
             return;
@@ -165,9 +166,9 @@
         let Some(sighting) = roster.remove(id) else {
             return;
         };
-        let incarnation = sighting.incarnation;
+        let old_incarnation = sighting.incarnation;
         self.down.insert(id.clone(), (sighting, cause));
-        self.record(id, incarnation, cause, true, running);
+        self.record(id, old_incarnation, cause, true, running);
     }
 
     fn record(
--- a/crates/standin/tests/log.rs
+++ b/crates/standin/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log's stand-in keeps what the platform promises.
+//! Checks that the stand-in's log behaves as the platform's log interface specifies.
 
 use std::time::Duration;
 
--- a/crates/standin/tests/roster.rs
+++ b/crates/standin/tests/roster.rs
@@ -1,4 +1,4 @@
-//! The roster's stand-in tells what changed.
+//! Checks that the stand-in's roster returns the changes since a version.
 
 use std::net::SocketAddr;
 
@@ -44,8 +44,8 @@
 
 #[tokio::test]
 async fn other_start() {
-    // The platform was started anew: a version of its former list must not pass for one of
-    // this list, or changes would be left out.
+    // A version from before a restart of the platform must not be accepted as a version of the
+    // new list. Otherwise the answer would omit changes.
     let (_, old, _) = start().await;
     let version = old.changes("").await.unwrap().version;
     let (platform, new, _) = start().await;
