--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to one entry.
+//! HTTP client for one entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 
 use crate::CliError;
 
-/// Longer than an entry takes to give a ticket up.
-const LIMIT: Duration = Duration::from_secs(15);
+/// Default request timeout; longer than an entry waits before it gives up on a ticket.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// One entry's admin API, with the operator's key.
+/// Client of one entry with the key of an operator or a team.
 #[derive(Clone)]
 pub(crate) struct Client {
     entry: SocketAddr,
     key: String,
-    limit: Duration,
+    timeout: Duration,
 }
 
-/// The body of a refusal.
+/// JSON body of a refusal.
 #[derive(Deserialize)]
 struct Refusal {
     code: u16,
@@ -31,16 +31,16 @@
 }
 
 impl Client {
-    /// The API at `entry`.
+    /// Creates a client for the entry at the address `entry`.
     pub(crate) fn new(entry: SocketAddr, key: String) -> Self {
         Self {
             entry,
             key,
-            limit: LIMIT,
+            timeout: REQUEST_TIMEOUT,
         }
     }
 
-    /// The same operator at another entry.
+    /// Returns a client with the same key and timeout for another entry.
     pub(crate) fn at(&self, entry: SocketAddr) -> Self {
         Self {
             entry,
@@ -48,23 +48,23 @@
         }
     }
 
-    /// Gives a call up after `limit`.
-    pub(crate) fn with_limit(mut self, limit: Duration) -> Self {
-        self.limit = limit;
+    /// Sets the timeout of each request.
+    pub(crate) fn with_timeout(mut self, timeout: Duration) -> Self {
+        self.timeout = timeout;
         self
     }
 
-    /// Where the entry listens.
+    /// Returns the address of the entry.
     pub(crate) fn entry(&self) -> SocketAddr {
         self.entry
     }
 
-    /// Reads.
+    /// Sends a GET request and parses the JSON answer.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CliError> {
         self.send(Call::get(self.entry, path)).await
     }
 
-    /// Puts something in.
+    /// Sends a POST request with a JSON body and parses the JSON answer.
     pub(crate) async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -76,10 +76,12 @@
     }
 
     async fn send<T: DeserializeOwned>(&self, call: Call) -> Result<T, CliError> {
-        let call = call.with_key(&self.key).with_timeout(self.limit);
+        let call = call.with_key(&self.key).with_timeout(self.timeout);
         let answer = call.send().await?;
         match answer.status.is_success() {
-            true => answer.json().map_err(|e| CliError::Answer(e.to_string())),
+            true => answer
+                .json()
+                .map_err(|e| CliError::InvalidAnswer(e.to_string())),
             false => Err(refusal(&answer)),
         }
     }
@@ -92,11 +94,11 @@
             message: refusal.message,
             detail: refusal.detail,
         },
-        Err(_) => CliError::Answer(format!("status {}", answer.status)),
+        Err(_) => CliError::InvalidAnswer(format!("status {}", answer.status)),
     }
 }
 
-/// The rows of a list.
+/// Returns the `items` of a list answer, or an empty slice if it has none.
 pub(crate) fn items(list: &Value) -> &[Value] {
     list["items"].as_array().map_or(&[], Vec::as_slice)
 }
--- a/crates/cli/src/diff.rs
+++ b/crates/cli/src/diff.rs
@@ -1,41 +1,42 @@
-//! What a ticket would change.
+//! Compares a ticket with the objects in force.
 
 use cactuswheel_model::{Change, ObjectId, Ticket};
 use serde::Serialize;
 use serde_json::{Map, Value};
 
 use crate::CliError;
-use crate::table::cell;
+use crate::table::format_cell;
 
-/// One object that a ticket names, beside its present state.
+/// The difference between one object in a ticket and the same object in force.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 pub struct DiffRow {
-    /// Its kind and name.
+    /// Kind and name of the object.
     pub object: String,
-    /// `add`, `change`, `same`, `remove` or `missing`.
+    /// `add`, `change`, `same`, `remove`, or `missing` for the removal of an object that does not
+    /// exist.
     pub action: &'static str,
-    /// Fields that differ.
+    /// Fields that differ, for the action `change`.
     pub fields: Vec<FieldDiff>,
 }
 
 /// One field that differs.
 #[derive(Debug, PartialEq, Eq, Serialize)]
 pub struct FieldDiff {
-    /// Its name.
+    /// Name of the field.
     pub field: String,
-    /// Its value in force.
+    /// Value in force, null if the field is not set.
     pub before: Value,
-    /// Its value in the ticket.
+    /// Value in the ticket, null if the field is not set.
     pub after: Value,
 }
 
-/// Compares a ticket with the objects in force, as `/v1/config` gives them.
+/// Compares a ticket with the objects in force; `config` is the answer of `/v1/config`.
 pub fn diff(config: &Value, ticket: &Ticket) -> Result<Vec<DiffRow>, CliError> {
     ticket.changes.iter().map(|c| row(config, c)).collect()
 }
 
-/// The rows as text, one object a line and one field a line below it.
-pub(crate) fn show_diff(rows: &[DiffRow]) -> String {
+/// Formats the rows as text, with one line for each object and one below it for each field.
+pub(crate) fn render_diff(rows: &[DiffRow]) -> String {
     let mut text = String::new();
     for row in rows {
         text.push_str(&format!("{:7} {}\n", row.action, row.object));
@@ -45,7 +46,7 @@
             after,
         } in &row.fields
         {
-            let (before, after) = (cell(before), cell(after));
+            let (before, after) = (format_cell(before), format_cell(after));
             text.push_str(&format!("          {field}: {before} -> {after}\n"));
         }
     }
@@ -54,7 +55,7 @@
 
 fn row(config: &Value, change: &Change) -> Result<DiffRow, CliError> {
     let object = change.object();
-    let before = &config[table_of(&object)][name_of(&object)];
+    let before = &config[config_section(&object)][object_name(&object)];
     let object = object.to_string();
     if matches!(change, Change::Remove(_)) {
         let action = if before.is_null() {
@@ -69,9 +70,9 @@
             fields,
         });
     }
-    let after = content(change)?;
+    let after = object_fields(change)?;
     let fields = match before.as_object() {
-        Some(before) => differing(before, &after),
+        Some(before) => changed_fields(before, &after),
         None => Vec::new(),
     };
     let action = match (before.is_null(), fields.is_empty()) {
@@ -86,16 +87,19 @@
     })
 }
 
-/// The fields of the object in a change, which is written as `{"kind": {...}}`.
-fn content(change: &Change) -> Result<Map<String, Value>, CliError> {
-    let value = serde_json::to_value(change).map_err(|e| CliError::Answer(e.to_string()))?;
+/// Returns the fields of the object in a change, which is encoded as `{"kind": {...}}`.
+fn object_fields(change: &Change) -> Result<Map<String, Value>, CliError> {
+    let value = serde_json::to_value(change).map_err(|e| CliError::InvalidAnswer(e.to_string()))?;
     let fields = value
         .as_object()
         .and_then(|o| o.values().next()?.as_object());
     Ok(fields.cloned().unwrap_or_default())
 }
 
-pub(crate) fn differing(before: &Map<String, Value>, after: &Map<String, Value>) -> Vec<FieldDiff> {
+pub(crate) fn changed_fields(
+    before: &Map<String, Value>,
+    after: &Map<String, Value>,
+) -> Vec<FieldDiff> {
     let mut names: Vec<_> = before.keys().chain(after.keys()).collect();
     names.sort();
     names.dedup();
@@ -111,7 +115,7 @@
         .collect()
 }
 
-fn table_of(object: &ObjectId) -> &'static str {
+fn config_section(object: &ObjectId) -> &'static str {
     match object {
         ObjectId::Dc(_) => "dcs",
         ObjectId::Pool(_) => "pools",
@@ -122,7 +126,7 @@
     }
 }
 
-fn name_of(object: &ObjectId) -> String {
+fn object_name(object: &ObjectId) -> String {
     match object {
         ObjectId::Dc(id) => id.to_string(),
         ObjectId::Pool(id) => id.to_string(),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the command line.
 
 use std::path::{Path, PathBuf};
 
@@ -7,28 +7,28 @@
 
 use crate::Exit;
 
-/// A failed command; prints as one line that starts with its code.
+/// A failed command; displays as one line that starts with the result code's number.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// A file cannot be read or does not hold what it should.
+    /// A file cannot be read or has invalid content.
     #[error("{}: {}: {message}", Code::BadFile, path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What happened, with the place in the file.
+        /// The cause, with the position in the file if known.
         message: String,
     },
-    /// Standard input does not hold what it should.
+    /// Standard input, or a request body made from input, is invalid.
     #[error("{code}: standard input: {0}", code = Code::BadFile)]
     Input(String),
-    /// A ticket can be read but no fleet could take it.
+    /// A ticket is valid JSON, but no fleet could apply it.
     #[error("{code}: {}: {detail}", path.display())]
     Ticket {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The result code of the ticket.
         code: Code,
-        /// What was wrong.
+        /// Details of the refusal.
         detail: String,
     },
     /// No operator key was given.
@@ -37,29 +37,29 @@
     /// No team key was given.
     #[error("{}: set CACTUSWHEEL_TEAM_KEY", Code::NoKey)]
     NoTeamKey,
-    /// The entry could not be reached.
+    /// The request was not sent because the entry could not be reached.
     #[error("{code}: {0}", code = Code::EntryUnreachable)]
     Unreachable(String),
-    /// The entry may have carried the command out.
+    /// No complete answer came; the entry may have run the command.
     #[error("{code}: {0}", code = Code::EntryLost)]
-    Lost(String),
-    /// The entry refused.
+    OutcomeUnknown(String),
+    /// The entry refused the command.
     #[error("{code} {message}{}{detail}", if detail.is_empty() { "" } else { ": " })]
     Refused {
-        /// The number of its code.
+        /// Number of the result code.
         code: u16,
-        /// The code's text.
+        /// Text of the result code.
         message: String,
-        /// What was wrong.
+        /// Details of the refusal.
         detail: String,
     },
-    /// The entry answered something that cannot be read.
+    /// The answer could not be parsed, or a result could not be written as JSON.
     #[error("{code}: its answer cannot be read: {0}", code = Code::EntryLost)]
-    Answer(String),
+    InvalidAnswer(String),
 }
 
 impl CliError {
-    /// A file that cannot be used.
+    /// Returns a [`CliError::File`] for the file at `path`.
     pub(crate) fn file(path: &Path, message: impl ToString) -> Self {
         Self::File {
             path: path.into(),
@@ -67,11 +67,12 @@
         }
     }
 
-    /// Adds what the user has to know to go on.
+    /// Appends `note` in parentheses to errors after which the command may have taken effect, and
+    /// to refusals; returns other errors unchanged.
     pub(crate) fn with_note(self, note: &str) -> Self {
         match self {
-            Self::Lost(text) => Self::Lost(format!("{text} ({note})")),
-            Self::Answer(text) => Self::Answer(format!("{text} ({note})")),
+            Self::OutcomeUnknown(text) => Self::OutcomeUnknown(format!("{text} ({note})")),
+            Self::InvalidAnswer(text) => Self::InvalidAnswer(format!("{text} ({note})")),
             Self::Refused {
                 code,
                 message,
@@ -85,18 +86,18 @@
         }
     }
 
-    /// Whether the entry refused with `code`.
-    pub(crate) fn is(&self, code: Code) -> bool {
+    /// Returns whether the entry refused the command with `code`.
+    pub(crate) fn has_code(&self, code: Code) -> bool {
         matches!(self, Self::Refused { code: c, .. } if *c == code.number())
     }
 
-    /// The exit status.
+    /// Returns the exit status of the process.
     pub fn exit(&self) -> Exit {
         match self {
             Self::File { .. } | Self::Input(_) | Self::Ticket { .. } => Exit::Input,
             Self::NoKey | Self::NoTeamKey => Exit::Usage,
             Self::Unreachable(_) => Exit::Unreachable,
-            Self::Lost(_) | Self::Answer(_) => Exit::Unknown,
+            Self::OutcomeUnknown(_) | Self::InvalidAnswer(_) => Exit::Unknown,
             Self::Refused { code, .. } => match Code::from_number(*code).map(Code::ran) {
                 Some(Ran::Unknown) => Exit::Unknown,
                 _ => Exit::Refused,
@@ -109,7 +110,7 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::NotSent(addr, why) => Self::Unreachable(format!("{addr}: {why}")),
-            CallError::Unknown(addr, why) => Self::Lost(format!("{addr}: {why}")),
+            CallError::Unknown(addr, why) => Self::OutcomeUnknown(format!("{addr}: {why}")),
         }
     }
 }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -6,35 +6,35 @@
 use cactuswheel_platform::{Batch, Entry};
 use tokio::sync::watch;
 
-/// Records with limited retention.
+/// A log stream that keeps a limited number of records.
 #[derive(Debug)]
 pub(crate) struct Log {
-    /// Invariant: consecutive offsets.
+    /// Retained records. Invariant: their offsets are consecutive.
     entries: VecDeque<Entry>,
-    /// Offset of the next append.
+    /// Offset that the next appended record gets.
     head: Offset,
-    /// Most records kept.
-    kept: usize,
-    /// Calls of `append` so far.
+    /// Maximum number of retained records.
+    capacity: usize,
+    /// Number of calls of `append` so far.
     appends: u64,
-    /// Tells readers that wait for the head to move.
-    moved: watch::Sender<Offset>,
+    /// Notifies waiting readers of a new head.
+    head_sender: watch::Sender<Offset>,
 }
 
 impl Log {
-    /// An empty stream that keeps `kept` records.
-    pub(crate) fn new(kept: usize) -> Self {
-        let (moved, _) = watch::channel(Offset::default());
+    /// Creates an empty stream that keeps the newest `capacity` records.
+    pub(crate) fn new(capacity: usize) -> Self {
+        let (head_sender, _) = watch::channel(Offset::default());
         Self {
             entries: VecDeque::new(),
             head: Offset::default(),
-            kept,
+            capacity,
             appends: 0,
-            moved,
+            head_sender,
         }
     }
 
-    /// Appends `bodies`; the offset of the first.
+    /// Appends `bodies`; returns the offset of the first one.
     pub(crate) fn append(&mut self, bodies: Vec<String>) -> Offset {
         let first = self.head;
         self.appends += 1;
@@ -45,13 +45,13 @@
             });
             self.head = self.head.next();
         }
-        let surplus = self.entries.len().saturating_sub(self.kept);
+        let surplus = self.entries.len().saturating_sub(self.capacity);
         self.entries.drain(..surplus);
-        self.moved.send_replace(self.head);
+        self.head_sender.send_replace(self.head);
         first
     }
 
-    /// Up to `max` records from `from` on.
+    /// Reads up to `max` records from `from` on; none if `from` is already trimmed.
     pub(crate) fn read(&self, from: Offset, max: usize) -> Batch {
         let first = self.first();
         let skip = from.get().saturating_sub(first.get()) as usize;
@@ -66,20 +66,20 @@
         }
     }
 
-    /// Drops the oldest records but the last `kept`, as time would.
+    /// Drops all but the newest `kept` records, as retention would.
     pub(crate) fn trim(&mut self, kept: usize) {
         let surplus = self.entries.len().saturating_sub(kept);
         self.entries.drain(..surplus);
     }
 
-    /// Calls of `append` so far.
+    /// Returns the number of calls of `append` so far.
     pub(crate) fn appends(&self) -> u64 {
         self.appends
     }
 
-    /// Tells when the head moves.
-    pub(crate) fn watch(&self) -> watch::Receiver<Offset> {
-        self.moved.subscribe()
+    /// Returns a receiver that is notified when the head changes.
+    pub(crate) fn watch_head(&self) -> watch::Receiver<Offset> {
+        self.head_sender.subscribe()
     }
 
     fn first(&self) -> Offset {
