--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -5,23 +5,23 @@
 use cactuswheel_model::{Share, Time};
 
 /// Unit of a correction factor.
-pub(crate) const PAR: u32 = 1 << 10;
+pub(crate) const UNIT_FACTOR: u32 = 1 << 10;
 
 /// Fraction bits of virtual time.
-const SCALE: u32 = 16;
+const FRACTION_BITS: u32 = 16;
 
 /// Waiting requests of one team, and how far it has come in virtual time.
 #[derive(Debug)]
 pub(crate) struct Flow<T> {
     /// Where its next request starts in virtual time.
-    pub(crate) tag: u64,
-    /// Its weight, corrected by what the fleet gave it elsewhere, in units of `PAR`.
+    pub(crate) start_tag: u64,
+    /// Its weight, corrected by what the fleet gave it elsewhere, in units of `UNIT_FACTOR`.
     weight: u64,
     factor: u32,
     /// The round in which it was last passed over.
-    pub(crate) passed: u64,
+    pub(crate) skipped_round: u64,
     pub(crate) urgent: VecDeque<Item<T>>,
-    pub(crate) plain: VecDeque<Item<T>>,
+    pub(crate) normal: VecDeque<Item<T>>,
 }
 
 #[derive(Debug)]
@@ -32,15 +32,15 @@
 }
 
 impl<T> Flow<T> {
-    /// A line that starts at `tag`.
-    pub(crate) fn new(tag: u64) -> Self {
+    /// A line that starts at `start_tag`.
+    pub(crate) fn new(start_tag: u64) -> Self {
         Self {
-            tag,
-            weight: u64::from(PAR),
-            factor: PAR,
-            passed: 0,
+            start_tag,
+            weight: u64::from(UNIT_FACTOR),
+            factor: UNIT_FACTOR,
+            skipped_round: 0,
             urgent: VecDeque::new(),
-            plain: VecDeque::new(),
+            normal: VecDeque::new(),
         }
     }
 
@@ -57,7 +57,7 @@
 
     /// Requests that wait.
     pub(crate) fn len(&self) -> usize {
-        self.urgent.len() + self.plain.len()
+        self.urgent.len() + self.normal.len()
     }
 
     pub(crate) fn weight(&self) -> u64 {
@@ -65,19 +65,19 @@
     }
 
     /// The lowest goes first.
-    pub(crate) fn key(&self) -> (bool, u64) {
-        (self.urgent.is_empty(), self.tag)
+    pub(crate) fn order_key(&self) -> (bool, u64) {
+        (self.urgent.is_empty(), self.start_tag)
     }
 
     /// Virtual time that `millis` of a slot cost this team.
     pub(crate) fn cost(&self, millis: u64) -> u64 {
-        (millis << SCALE) * u64::from(PAR) / self.weight
+        (millis << FRACTION_BITS) * u64::from(UNIT_FACTOR) / self.weight
     }
 
-    pub(crate) fn line(&mut self, urgent: bool) -> &mut VecDeque<Item<T>> {
+    pub(crate) fn lane(&mut self, urgent: bool) -> &mut VecDeque<Item<T>> {
         if urgent {
             return &mut self.urgent;
         }
-        &mut self.plain
+        &mut self.normal
     }
 }
--- a/crates/admission/src/holder.rs
+++ b/crates/admission/src/holder.rs
@@ -5,24 +5,24 @@
     Code, DcId, Holding, LifeId, Map, Offset, Refusal, TeamId, Time, Timing, Usage,
 };
 
-use crate::{Contact, Gate};
+use crate::{LastContact, UnitCounter};
 
 /// Reports of all entries together, per second; each entry takes an even part.
 ///
 /// With reports of 16 rows, 0.8 KB each, this is 4.8 KB of log to read a second.
-const REPORTS: u64 = 6;
+const REPORTS_PER_SECOND: u64 = 6;
 
 /// Shortest time between two reports of one entry, in milliseconds.
-const QUICKEST: u64 = 300;
+const MIN_REPORT_MS: u64 = 300;
 
 /// Time for which demand is remembered, in milliseconds, at least; twice that at most.
 ///
 /// Demand comes in bursts of seconds: units given away between two requests of one burst would
 /// have to come back through the log.
-const WINDOW: u128 = 5_000;
+const DEMAND_WINDOW_MS: u128 = 5_000;
 
 /// Most rows in one report.
-const ROWS: usize = 16;
+const MAX_REPORT_ROWS: usize = 16;
 
 /// Decides what may start here, and which records to append.
 ///
@@ -35,35 +35,35 @@
     life: LifeId,
     dc: DcId,
     timing: Timing,
-    gate: Gate,
-    contact: Contact,
+    units: UnitCounter,
+    contact: LastContact,
     /// Whether the log has shown this life as one that holds units.
     joined: bool,
     /// Whether it is stopping.
     leaving: bool,
     /// When each peer's life was last heard of.
-    heard: Map<LifeId, Time>,
+    last_heard: Map<LifeId, Time>,
     /// When each life of this data centre was first seen in the log.
-    seen: Map<LifeId, Time>,
+    first_seen: Map<LifeId, Time>,
     /// Revoked lives of this data centre, and what was read of them when.
-    revoked: Map<LifeId, Read>,
+    revoked: Map<LifeId, RevocationRead>,
     /// When it last reported.
-    reported: Option<Time>,
+    last_report: Option<Time>,
     /// When the demand seen was last forgotten.
-    turned: Time,
+    window_start: Time,
     /// Where the next report goes on.
-    turn: usize,
+    next_row: usize,
 }
 
 /// When this entry read of a revocation.
 #[derive(Debug)]
-struct Read {
+struct RevocationRead {
     /// Reading of the revocation itself.
-    first: Time,
+    first_read: Time,
     /// From where the peers count.
     since: Offset,
     /// Reading of that.
-    at: Time,
+    since_read: Time,
 }
 
 impl Holder {
@@ -73,16 +73,16 @@
             life,
             dc,
             timing,
-            gate: Gate::default(),
-            contact: Contact::default(),
+            units: UnitCounter::default(),
+            contact: LastContact::default(),
             joined: false,
             leaving: false,
-            heard: Map::default(),
-            seen: Map::default(),
+            last_heard: Map::default(),
+            first_seen: Map::default(),
             revoked: Map::default(),
-            reported: None,
-            turned: Time::default(),
-            turn: 0,
+            last_report: None,
+            window_start: Time::default(),
+            next_row: 0,
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Whether the log has not shown this life yet.
-    pub fn is_new(&self) -> bool {
+    pub fn awaits_join(&self) -> bool {
         !self.joined
     }
 
@@ -102,95 +102,95 @@
     }
 
     /// What is in use here.
-    pub fn gate(&self) -> &Gate {
-        &self.gate
+    pub fn units(&self) -> &UnitCounter {
+        &self.units
     }
 
     /// Whether work may start here at all.
     pub fn is_open(&self, now: Time, known: &Allotments) -> bool {
         let open = known.life(&self.life).is_some_and(Life::is_open);
-        open && !self.leaving && self.contact.holds(now, self.timing)
+        open && !self.leaving && self.contact.is_recent(now, self.timing)
     }
 
     /// Takes a unit for `team`. `known` has to be the newest state that this entry has read.
-    pub fn enter(&mut self, now: Time, known: &Allotments, team: &TeamId) -> Result<(), Refusal> {
+    pub fn acquire(&mut self, now: Time, known: &Allotments, team: &TeamId) -> Result<(), Refusal> {
         if !self.is_open(now, known) {
             return Err(Refusal::new(Code::Fenced));
         }
-        self.gate.expire(now);
+        self.units.expire(now);
         let cap = known.row(team, &self.life).map_or(0, |r| r.cap);
-        if self.gate.enter(team, cap) {
+        if self.units.acquire(team, cap) {
             return Ok(());
         }
         Err(Refusal::new(Code::TeamLimit))
     }
 
     /// Gives a unit back.
-    pub fn leave(&mut self, team: &TeamId) {
-        self.gate.leave(team);
+    pub fn release(&mut self, team: &TeamId) {
+        self.units.release(team);
     }
 
     /// Gives a unit back once its request, admitted at `start`, has surely ended.
     ///
     /// Failure: an answer is lost, the unit is given back at once, and the next request runs
     /// beside the first one, which still runs upstream: one over the limit.
-    pub fn lose(&mut self, start: Time, team: &TeamId) {
-        self.gate.leave_at(team, start.after(self.timing.lost()));
+    pub fn release_after_run(&mut self, start: Time, team: &TeamId) {
+        self.units.release_at(team, start.after(self.timing.lost()));
     }
 
     /// Starts nothing more; the units are handed back when all has ended.
-    pub fn stop(&mut self) {
+    pub fn start_leaving(&mut self) {
         self.leaving = true;
     }
 
     /// The log, asked at `sent`, had nothing that was not read.
-    pub fn log_answered(&mut self, sent: Time) {
-        self.contact.log(sent);
+    pub fn record_log_read(&mut self, sent: Time) {
+        self.contact.record_log_read(sent);
     }
 
     /// A peer, told at `sent` that this life is up, renewed it.
-    pub fn renewed(&mut self, sent: Time) {
-        self.contact.peer(sent);
+    pub fn record_renewal(&mut self, sent: Time) {
+        self.contact.record_renewal(sent);
     }
 
     /// A peer's life was heard of.
-    pub fn hear(&mut self, now: Time, life: &LifeId) {
-        self.heard.insert(life.clone(), now);
+    pub fn record_heartbeat(&mut self, now: Time, life: &LifeId) {
+        self.last_heard.insert(life.clone(), now);
     }
 
     /// Whether this life renews a peer's.
     ///
     /// Failure: a renewal after the revocation was read, or from a life that has itself ended,
     /// keeps a peer going whose units others have taken over.
-    pub fn renews(&self, now: Time, known: &Allotments, life: &LifeId) -> bool {
+    pub fn may_renew(&self, now: Time, known: &Allotments, life: &LifeId) -> bool {
         let mine = known.life(life).filter(|l| l.dc == self.dc);
         mine.is_some_and(Life::is_open) && self.is_open(now, known)
     }
 
     /// Records to append now; `nonce` is fresh and random, for a next life.
     pub fn tick(&mut self, now: Time, known: &Allotments, nonce: u64) -> Vec<Holding> {
-        self.gate.expire(now);
-        self.note(now, known);
+        self.units.expire(now);
+        self.observe_lives(now, known);
         let Some(own) = known.life(&self.life) else {
             return self.join(nonce);
         };
         self.joined = true;
         if !own.is_open() || self.leaving {
             let life = self.life.clone();
-            let idle = self.gate.is_idle();
+            let idle = self.units.is_idle();
             return idle
                 .then_some(Holding::Leave { life })
                 .into_iter()
                 .collect();
         }
-        let mut records = self.suspect(now, known);
-        records.extend(self.witness(now, known));
+        let mut records = self.revoke_silent(now, known);
+        records.extend(self.witness_revoked(now, known));
         records.extend(self.report(now, known));
         records
     }
 
     fn join(&mut self, nonce: u64) -> Vec<Holding> {
-        if self.leaving || (self.joined && !self.gate.is_idle()) {
+        if self.leaving || (self.joined && !self.units.is_idle()) {
             return Vec::new();
         }
         if self.joined {
@@ -206,34 +206,34 @@
     }
 
     /// Remembers what the log says of this data centre's lives, and when that was read.
-    fn note(&mut self, now: Time, known: &Allotments) {
-        self.seen.retain(|life, _| known.life(life).is_some());
-        self.heard.retain(|life, _| known.life(life).is_some());
+    fn observe_lives(&mut self, now: Time, known: &Allotments) {
+        self.first_seen.retain(|life, _| known.life(life).is_some());
+        self.last_heard.retain(|life, _| known.life(life).is_some());
         self.revoked.retain(|life, _| known.life(life).is_some());
         for (id, life) in known.lives().filter(|(_, l)| l.dc == self.dc) {
-            self.seen.entry(id.clone()).or_insert(now);
+            self.first_seen.entry(id.clone()).or_insert(now);
             if life.is_open() {
                 continue;
             }
             let since = life.since;
-            let read = self.revoked.entry(id.clone()).or_insert(Read {
-                first: now,
+            let read = self.revoked.entry(id.clone()).or_insert(RevocationRead {
+                first_read: now,
                 since,
-                at: now,
+                since_read: now,
             });
             if read.since != since {
-                (read.since, read.at) = (since, now);
+                (read.since, read.since_read) = (since, now);
             }
         }
     }
 
     /// Revokes peers that are not heard of.
-    fn suspect(&self, now: Time, known: &Allotments) -> Vec<Holding> {
+    fn revoke_silent(&self, now: Time, known: &Allotments) -> Vec<Holding> {
         let silent = |id: &LifeId, life: &Life| {
-            let (since, limit) = match self.heard.get(id) {
+            let (since, limit) = match self.last_heard.get(id) {
                 Some(at) => (*at, life.timing.fence),
                 // It may be one that this entry has no link to.
-                None => (*self.seen.get(id).unwrap_or(&now), life.timing.cut),
+                None => (*self.first_seen.get(id).unwrap_or(&now), life.timing.cut),
             };
             now.since(since).as_millis() >= u128::from(limit)
         };
@@ -249,17 +249,17 @@
     }
 
     /// Gives its word on revoked peers that it has not renewed for long enough.
-    fn witness(&self, now: Time, known: &Allotments) -> Vec<Holding> {
-        let mut words = Vec::new();
+    fn witness_revoked(&self, now: Time, known: &Allotments) -> Vec<Holding> {
+        let mut witnesses = Vec::new();
         for (id, read) in &self.revoked {
             let Some(life) = known.life(id).filter(|_| *id != self.life) else {
                 continue;
             };
-            let cut = now.since(read.first) >= life.timing.quiet_cut();
-            let quiet = now.since(read.at) >= life.timing.quiet();
+            let cut = now.since(read.first_read) >= life.timing.quiet_cut();
+            let quiet = now.since(read.since_read) >= life.timing.quiet();
             let since = if cut { life.revoked } else { Some(read.since) };
             if let Some(since) = since.filter(|_| cut || quiet && !life.witnessed(&self.life)) {
-                words.push(Holding::Witness {
+                witnesses.push(Holding::Witness {
                     life: id.clone(),
                     by: self.life.clone(),
                     since,
@@ -267,38 +267,44 @@
                 });
             }
         }
-        words
+        witnesses
     }
 
     fn report(&mut self, now: Time, known: &Allotments) -> Option<Holding> {
-        let period = (known.size() as u64 * 1000 / REPORTS).max(QUICKEST);
+        let period = (known.size() as u64 * 1000 / REPORTS_PER_SECOND).max(MIN_REPORT_MS);
         let early = |at: Time| now.since(at).as_millis() < u128::from(period);
-        if self.reported.is_some_and(early) {
+        if self.last_report.is_some_and(early) {
             return None;
         }
-        self.reported = Some(now);
-        if now.since(self.turned).as_millis() >= WINDOW {
-            self.turned = now;
-            self.gate.turn();
+        self.last_report = Some(now);
+        if now.since(self.window_start).as_millis() >= DEMAND_WINDOW_MS {
+            self.window_start = now;
+            self.units.rotate_window();
         }
         let life = self.life.clone();
         let own = known.splits().filter_map(|(t, s)| Some((t, s.row(&life)?)));
-        let rows: Vec<_> = own.filter_map(|(t, row)| self.news(t, row)).collect();
+        let rows: Vec<_> = own
+            .filter_map(|(t, row)| self.usage_change(t, row))
+            .collect();
         if rows.is_empty() {
             return None;
         }
         // In turns, so that no team waits for ever behind the first ones.
-        let from = self.turn % rows.len();
-        self.turn = self.turn.wrapping_add(ROWS);
-        let rows = rows.iter().cycle().skip(from).take(rows.len().min(ROWS));
+        let from = self.next_row % rows.len();
+        self.next_row = self.next_row.wrapping_add(MAX_REPORT_ROWS);
+        let rows = rows
+            .iter()
+            .cycle()
+            .skip(from)
+            .take(rows.len().min(MAX_REPORT_ROWS));
         let rows = rows.cloned().collect();
         Some(Holding::Usage { life, rows })
     }
 
     /// What the log should know of a team, if it differs enough to be worth a record.
-    fn news(&mut self, team: &TeamId, row: &AllotmentRow) -> Option<Usage> {
-        let used = self.gate.used(team);
-        let want = round_up(self.gate.demand(team).max(used));
+    fn usage_change(&mut self, team: &TeamId, row: &AllotmentRow) -> Option<Usage> {
+        let used = self.units.used(team);
+        let want = round_up(self.units.demand(team).max(used));
         let freed = row.occupied > row.cap.max(used);
         let grew = want > row.want && want > row.cap;
         let shrank = want < row.want / 2;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -6,20 +6,20 @@
 mod contact;
 mod denials;
 mod flow;
-mod gate;
 mod holder;
 mod mean;
 mod mesh;
-mod place;
 mod queue;
+mod queue_request;
 mod shares;
+mod unit_counter;
 
-pub use contact::Contact;
+pub use contact::LastContact;
 pub use denials::Denials;
-pub use gate::Gate;
 pub use holder::Holder;
 pub use mean::Mean;
 pub use mesh::{MeshNode, peers};
-pub use place::Place;
-pub use queue::{Queue, Room};
-pub use shares::{Given, Shares};
+pub use queue::{Concurrency, Queue};
+pub use queue_request::QueueRequest;
+pub use shares::{Shares, TeamUsage};
+pub use unit_counter::UnitCounter;
--- a/crates/admission/src/mean.rs
+++ b/crates/admission/src/mean.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Weight of a new run, as a shift.
-const SHIFT: u32 = 4;
+const WEIGHT_SHIFT: u32 = 4;
 
 /// Mean of the last runs; zero until the first.
 #[derive(Debug, Clone, Copy, Default)]
@@ -13,13 +13,13 @@
 
 impl Mean {
     /// Takes a run in.
-    pub fn learn(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took = took.as_micros() as u64;
         if self.micros == 0 {
             self.micros = took;
             return;
         }
-        self.micros = self.micros - (self.micros >> SHIFT) + (took >> SHIFT);
+        self.micros = self.micros - (self.micros >> WEIGHT_SHIFT) + (took >> WEIGHT_SHIFT);
     }
 
     /// The mean.
--- a/crates/admission/src/mesh.rs
+++ b/crates/admission/src/mesh.rs
@@ -32,14 +32,14 @@
         dcs.entry(&node.dc).or_default().push(node);
     }
     dcs.values_mut().for_each(|entries| entries.sort());
-    let near = nodes
+    let local = nodes
         .iter()
         .filter(|n| n.dc == me.dc && n.entry != me.entry);
-    let mut peers: Vec<_> = near.collect();
+    let mut peers: Vec<_> = local.collect();
     let names: Vec<_> = dcs.keys().copied().collect();
-    for (one, other) in pairs(&names) {
-        for gate in 0..GATEWAYS {
-            let ends = [one, other].map(|dc| gateway(&dcs[dc], (one, other), gate));
+    for (one, other) in linked_dcs(&names) {
+        for index in 0..GATEWAYS {
+            let ends = [one, other].map(|dc| gateway(&dcs[dc], (one, other), index));
             match ends {
                 [a, b] if a == me => peers.push(b),
                 [a, b] if b == me => peers.push(a),
@@ -53,7 +53,7 @@
 }
 
 /// Linked data centres, each pair once.
-fn pairs<'a>(names: &[&'a DcId]) -> BTreeSet<(&'a DcId, &'a DcId)> {
+fn linked_dcs<'a>(names: &[&'a DcId]) -> BTreeSet<(&'a DcId, &'a DcId)> {
     let count = names.len();
     let mut pairs = BTreeSet::new();
     for (i, name) in names.iter().enumerate() {
@@ -69,8 +69,8 @@
 }
 
 /// The entry that holds the end of a link; neighbours in order take the pairs of one link.
-fn gateway<'a>(entries: &[&'a MeshNode], link: (&DcId, &DcId), gate: usize) -> &'a MeshNode {
-    entries[(hash(&link) as usize + gate) % entries.len()]
+fn gateway<'a>(entries: &[&'a MeshNode], link: (&DcId, &DcId), index: usize) -> &'a MeshNode {
+    entries[(hash(&link) as usize + index) % entries.len()]
 }
 
 /// The same at every entry and in every build.
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -5,16 +5,16 @@
 use cactuswheel_model::{Code, Map, Refusal, Share, TeamId, Time};
 
 use crate::flow::{Flow, Item};
-use crate::{Mean, Place};
+use crate::{Mean, QueueRequest};
 
 /// Most requests of one team that wait.
-const MAX_TEAM: usize = 512;
+const MAX_TEAM_WAITING: usize = 512;
 
 /// Most requests that wait.
-const MAX_ALL: usize = 4_096;
+const MAX_WAITING: usize = 4_096;
 
 /// Shortest time after which a refused caller is told to come back.
-const RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A queue in start-time fair order.
 ///
@@ -26,19 +26,19 @@
 pub struct Queue<T> {
     flows: Map<TeamId, Flow<T>>,
     /// The present in virtual time: the tag of the last start.
-    now: u64,
+    virtual_now: u64,
     /// Invariant: the sum of the flows' lengths.
     len: usize,
     /// Invariant: the sum of the flows' urgent requests.
     urgent: usize,
-    next: u64,
+    next_id: u64,
     round: u64,
-    run: Mean,
+    mean_run: Mean,
 }
 
 /// What could be had at once, for the estimate of a wait.
 #[derive(Debug, Clone, Copy)]
-pub struct Room {
+pub struct Concurrency {
     /// Slots that this entry may count on.
     pub slots: u32,
     /// Units of the team at this entry.
@@ -49,12 +49,12 @@
     fn default() -> Self {
         Self {
             flows: Map::default(),
-            now: 0,
+            virtual_now: 0,
             len: 0,
             urgent: 0,
-            next: 0,
+            next_id: 0,
             round: 0,
-            run: Mean::default(),
+            mean_run: Mean::default(),
         }
     }
 }
@@ -82,30 +82,36 @@
     }
 
     /// Puts a request into its place, or refuses one that cannot start in time; its id.
-    pub fn push(&mut self, now: Time, place: Place, room: Room, value: T) -> Result<u64, Refusal> {
-        let wait = self.estimate(&place, room);
-        let refuse = |code| Err(Refusal::new(code).with_retry(wait.max(RETRY)));
-        if self.waiting(&place.team) >= MAX_TEAM || self.len >= MAX_ALL {
+    pub fn push(
+        &mut self,
+        now: Time,
+        request: QueueRequest,
+        concurrency: Concurrency,
+        value: T,
+    ) -> Result<u64, Refusal> {
+        let wait = self.estimate(&request, concurrency);
+        let refuse = |code| Err(Refusal::new(code).with_retry(wait.max(MIN_RETRY_DELAY)));
+        if self.waiting(&request.team) >= MAX_TEAM_WAITING || self.len >= MAX_WAITING {
             return refuse(Code::QueueFull);
         }
-        if now.after(wait) > place.deadline {
+        if now.after(wait) > request.deadline {
             return refuse(Code::Deadline);
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.len += 1;
-        self.urgent += usize::from(place.urgent);
-        let flow = self.flow(&place.team, place.share);
-        flow.line(place.urgent).push_back(Item {
+        self.urgent += usize::from(request.urgent);
+        let flow = self.flow(&request.team, request.share);
+        flow.lane(request.urgent).push_back(Item {
             id,
-            deadline: place.deadline,
+            deadline: request.deadline,
             value,
         });
         Ok(id)
     }
 
     /// Begins a new round of starts: teams that were passed over are looked at again.
-    pub fn begin(&mut self, now: Time) {
+    pub fn begin_round(&mut self, now: Time) {
         self.round += 1;
         self.expire(now);
     }
@@ -116,14 +122,14 @@
         loop {
             let round = self.round;
             let waiting = self.flows.iter_mut();
-            let waiting = waiting.filter(|(_, f)| f.len() > 0 && f.passed != round);
-            let (team, flow) = waiting.min_by_key(|(_, f)| f.key())?;
+            let waiting = waiting.filter(|(_, f)| f.len() > 0 && f.skipped_round != round);
+            let (team, flow) = waiting.min_by_key(|(_, f)| f.order_key())?;
             if !may_run(team) {
-                flow.passed = round;
+                flow.skipped_round = round;
                 continue;
             }
             let urgent = !flow.urgent.is_empty();
-            let item = flow.line(urgent).pop_front()?;
+            let item = flow.lane(urgent).pop_front()?;
             self.len -= 1;
             self.urgent -= usize::from(urgent);
             return Some((team.clone(), item.value));
@@ -136,9 +142,9 @@
             return false;
         };
         for urgent in [true, false] {
-            let line = flow.line(urgent);
-            if let Some(at) = line.iter().position(|i| i.id == id) {
-                line.remove(at);
+            let lane = flow.lane(urgent);
+            if let Some(at) = lane.iter().position(|i| i.id == id) {
+                lane.remove(at);
                 self.len -= 1;
                 self.urgent -= usize::from(urgent);
                 return true;
@@ -148,63 +154,63 @@
     }
 
     /// Charges a team for a request that starts; the slot time charged.
-    pub fn started(&mut self, team: &TeamId, share: Share) -> Duration {
-        let run = self.run.get();
+    pub fn charge(&mut self, team: &TeamId, share: Share) -> Duration {
+        let run = self.mean_run.get();
         let flow = self.flow(team, share);
-        let start = flow.tag;
-        flow.tag += flow.cost(run.as_millis().max(1) as u64);
-        self.now = self.now.max(start);
+        let start = flow.start_tag;
+        flow.start_tag += flow.cost(run.as_millis().max(1) as u64);
+        self.virtual_now = self.virtual_now.max(start);
         run
     }
 
     /// Corrects what a request was `charged` by what it took.
-    pub fn ended(&mut self, team: &TeamId, charged: Duration, took: Duration) {
-        self.run.learn(took);
+    pub fn settle_charge(&mut self, team: &TeamId, charged: Duration, took: Duration) {
+        self.mean_run.record(took);
         let Some(flow) = self.flows.get_mut(team) else {
             return;
         };
         let millis = |d: Duration| d.as_millis().max(1) as u64;
         let (paid, due) = (flow.cost(millis(charged)), flow.cost(millis(took)));
-        flow.tag = (flow.tag + due).saturating_sub(paid);
+        flow.start_tag = (flow.start_tag + due).saturating_sub(paid);
     }
 
     /// Corrects teams' weights, in 1/1024, by what the whole fleet gave them.
-    pub fn correct(&mut self, factor: impl Fn(&TeamId) -> u32) {
+    pub fn set_factors(&mut self, factor: impl Fn(&TeamId) -> u32) {
         for (team, flow) in &mut self.flows {
             flow.set_factor(factor(team));
         }
     }
 
     /// Time until a request with this place would start.
-    fn estimate(&self, place: &Place, room: Room) -> Duration {
-        let own = self.flows.get(&place.team);
-        let before = if place.urgent {
+    fn estimate(&self, request: &QueueRequest, concurrency: Concurrency) -> Duration {
+        let own = self.flows.get(&request.team);
+        let before = if request.urgent {
             self.urgent
         } else {
-            self.urgent + self.plain_before(own, place.share)
+            self.urgent + self.normal_ahead(own, request.share)
         };
         let mine = own.map_or(0, |f| {
-            if place.urgent {
+            if request.urgent {
                 f.urgent.len()
             } else {
                 f.len()
             }
         });
         let turns = |ahead: usize, at_once: u32| ahead as u32 / at_once.max(1);
-        let turns = turns(before, room.slots).max(turns(mine, room.units));
-        self.run.get() * turns
+        let turns = turns(before, concurrency.slots).max(turns(mine, concurrency.units));
+        self.mean_run.get() * turns
     }
 
     /// Requests that go before one more of this team: each other team's, up to as far as its
     /// weight carries it meanwhile.
-    fn plain_before(&self, own: Option<&Flow<T>>, share: Share) -> usize {
-        let ahead = own.map_or(0, |f| f.plain.len());
-        let par = u64::from(crate::flow::PAR);
-        let weight = own.map_or(u64::from(share.get().max(1)) * par, Flow::weight);
-        let others = self.flows.values().filter(|f| !f.plain.is_empty());
+    fn normal_ahead(&self, own: Option<&Flow<T>>, share: Share) -> usize {
+        let ahead = own.map_or(0, |f| f.normal.len());
+        let unit = u64::from(crate::flow::UNIT_FACTOR);
+        let weight = own.map_or(u64::from(share.get().max(1)) * unit, Flow::weight);
+        let others = self.flows.values().filter(|f| !f.normal.is_empty());
         let before = |f: &Flow<T>| {
             let reach = (ahead as u64 + 1) * f.weight() / weight.max(1);
-            f.plain.len().min(reach as usize)
+            f.normal.len().min(reach as usize)
         };
         let all: usize = others.map(before).sum();
         all.max(ahead)
@@ -212,11 +218,11 @@
 
     fn flow(&mut self, team: &TeamId, share: Share) -> &mut Flow<T> {
         if !self.flows.contains_key(team) {
-            self.flows.insert(team.clone(), Flow::new(self.now));
+            self.flows.insert(team.clone(), Flow::new(self.virtual_now));
         }
         let flow = self.flows.get_mut(team).expect("it was just put in");
         if flow.len() == 0 {
-            flow.tag = flow.tag.max(self.now);
+            flow.start_tag = flow.start_tag.max(self.virtual_now);
         }
         flow.set_share(share);
         flow
@@ -228,9 +234,9 @@
         }
         for flow in self.flows.values_mut().filter(|f| f.len() > 0) {
             for urgent in [true, false] {
-                let line = flow.line(urgent);
-                while line.front().is_some_and(|i| i.deadline <= now) {
-                    line.pop_front();
+                let lane = flow.lane(urgent);
+                while lane.front().is_some_and(|i| i.deadline <= now) {
+                    lane.pop_front();
                     self.len -= 1;
                     self.urgent -= usize::from(urgent);
                 }
--- a/crates/admission/src/place.rs
+++ b/crates/admission/src/queue_request.rs
@@ -4,7 +4,7 @@
 
 /// Whose request waits, how urgently and until when.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct QueueRequest {
     /// The team.
     pub team: TeamId,
     /// Its weight against other teams.
--- a/crates/admission/src/gate.rs
+++ b/crates/admission/src/unit_counter.rs
@@ -7,37 +7,37 @@
 
 /// Counts what each team has running here.
 #[derive(Debug, Default)]
-pub struct Gate {
-    teams: Map<TeamId, Count>,
+pub struct UnitCounter {
+    teams: Map<TeamId, TeamUnits>,
     /// Units of requests whose end is unknown, by the time at which they surely have ended.
     ///
     /// Invariant: each is counted in `teams` too.
-    unknown: BinaryHeap<Reverse<(Time, TeamId)>>,
+    unresolved: BinaryHeap<Reverse<(Time, TeamId)>>,
     /// Units in use over all teams.
     total: u32,
 }
 
 #[derive(Debug, Default)]
-struct Count {
+struct TeamUnits {
     used: u32,
     /// Most that were or could have been in use at once, in this window and the one before.
     peaks: [u32; 2],
     /// Turned away at the cap since the last look.
-    turned: u32,
+    rejected: u32,
 }
 
 /// Growth of a team's demand that one look can show, beside doubling.
-const STEP: u32 = 4;
+const EXTRA_GROWTH: u32 = 4;
 
-impl Gate {
+impl UnitCounter {
     /// Takes a unit for `team` if fewer than `cap` are in use.
-    pub fn enter(&mut self, team: &TeamId, cap: u32) -> bool {
+    pub fn acquire(&mut self, team: &TeamId, cap: u32) -> bool {
         let count = match self.teams.get_mut(team) {
             Some(count) => count,
             None => self.teams.entry(team.clone()).or_default(),
         };
         if count.used >= cap {
-            count.turned = count.turned.saturating_add(1);
+            count.rejected = count.rejected.saturating_add(1);
             return false;
         }
         count.used += 1;
@@ -47,7 +47,7 @@
     }
 
     /// Gives a unit of `team` back.
-    pub fn leave(&mut self, team: &TeamId) {
+    pub fn release(&mut self, team: &TeamId) {
         if let Some(count) = self.teams.get_mut(team) {
             count.used -= 1;
             self.total -= 1;
@@ -55,17 +55,17 @@
     }
 
     /// Gives a unit of `team` back at `at`, when its request has surely ended.
-    pub fn leave_at(&mut self, team: &TeamId, at: Time) {
-        self.unknown.push(Reverse((at, team.clone())));
+    pub fn release_at(&mut self, team: &TeamId, at: Time) {
+        self.unresolved.push(Reverse((at, team.clone())));
     }
 
     /// Gives back the units of requests that have surely ended by `now`.
     pub fn expire(&mut self, now: Time) {
-        while let Some(Reverse((at, _))) = self.unknown.peek()
+        while let Some(Reverse((at, _))) = self.unresolved.peek()
             && *at <= now
-            && let Some(Reverse((_, team))) = self.unknown.pop()
+            && let Some(Reverse((_, team))) = self.unresolved.pop()
         {
-            self.leave(&team);
+            self.release(&team);
         }
     }
 
@@ -87,14 +87,14 @@
         let Some(count) = self.teams.get_mut(team) else {
             return 0;
         };
-        let more = count.turned.min(count.used + STEP);
-        count.turned = 0;
-        count.peaks[0] = count.peaks[0].max(count.used + more);
+        let growth = count.rejected.min(count.used + EXTRA_GROWTH);
+        count.rejected = 0;
+        count.peaks[0] = count.peaks[0].max(count.used + growth);
         count.peaks[0].max(count.peaks[1])
     }
 
     /// Begins a new window of demand.
-    pub fn turn(&mut self) {
+    pub fn rotate_window(&mut self) {
         for count in self.teams.values_mut() {
             count.peaks = [count.used, count.peaks[0]];
         }
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use cactuswheel_admission::Gate;
+use cactuswheel_admission::UnitCounter;
 use cactuswheel_model::{Incarnation, PoolId, Slots, TeamId, Time};
 use cactuswheel_routing::{Candidate, Nearness, Outcome, Routes};
 
@@ -127,11 +127,11 @@
     let teams: Vec<TeamId> = names
         .map(|name| name.expect("the name is well formed"))
         .collect();
-    let mut gate = Gate::default();
+    let mut gate = UnitCounter::default();
     time(ROUNDS, |n| {
         let team = &teams[n as usize % teams.len()];
-        if black_box(gate.enter(team, 100)) {
-            gate.leave(team);
+        if black_box(gate.acquire(team, 100)) {
+            gate.release(team);
         }
     })
 }
--- a/crates/daemon/src/denials.rs
+++ b/crates/daemon/src/denials.rs
@@ -69,10 +69,12 @@
             continue;
         }
         let state = shared.state.load_full();
-        shared.change_denials(|known| known.settle(|digest| state.denials().contains(digest)));
+        shared.change_denials(|known| {
+            known.remove_recorded(|digest| state.denials().contains(digest))
+        });
         let mut due = Vec::new();
         let now = shared.now();
-        shared.change_denials(|known| due = known.due(now, AGAIN));
+        shared.change_denials(|known| due = known.take_due(now, AGAIN));
         for denial in due {
             tell(&shared, denial).await;
         }
--- a/crates/daemon/src/holding.rs
+++ b/crates/daemon/src/holding.rs
@@ -78,7 +78,7 @@
         if let Ok(batch) = batch
             && wait_for(&shared, batch.head, period).await
         {
-            shared.holder().log_answered(sent);
+            shared.holder().record_log_read(sent);
         }
         sleep(period).await;
     }
@@ -86,7 +86,7 @@
 
 /// Hands all units back at a planned stop, as far as nothing runs any more.
 pub(crate) async fn hand_back(shared: &Shared) {
-    shared.holder().stop();
+    shared.holder().start_leaving();
     let done = async {
         while holds(shared) {
             tell(shared, tick(shared)).await;
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -74,7 +74,7 @@
     let state = shared.state.load();
     let holder = shared.holder();
     let now = shared.now();
-    let renews = |h: &Heard| holder.renews(now, state.allotments(), &h.life);
+    let renews = |h: &Heard| holder.may_renew(now, state.allotments(), &h.life);
     Beat {
         entry: shared.settings.entry.to_string(),
         dc: shared.settings.dc.to_string(),
@@ -91,7 +91,7 @@
 
 fn denials(shared: &Shared, turn: usize) -> Option<Vec<Denial>> {
     let known = shared.denials.load();
-    let told = known.told(turn).map(|d| Denial {
+    let told = known.batch(turn).map(|d| Denial {
         digest: d.digest.as_bytes().to_vec(),
         operator: d.by.to_string(),
     });
@@ -128,9 +128,9 @@
 /// Takes what a peer says of this life; an echo of an earlier life's clock means nothing here.
 fn hear_units(shared: &Shared, life: &LifeId, beat: &Beat) {
     let mut holder = shared.holder();
-    holder.hear(shared.now(), life);
+    holder.record_heartbeat(shared.now(), life);
     let own = beat.heard.as_deref() == Some(holder.life().to_string().as_str());
     if let Some(echo) = beat.echo.filter(|_| own && beat.renews) {
-        holder.renewed(Time::new(echo as u64));
+        holder.record_renewal(Time::new(echo as u64));
     }
 }
--- a/crates/daemon/src/proxy/held.rs
+++ b/crates/daemon/src/proxy/held.rs
@@ -67,7 +67,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.shared.holder().leave(&self.team);
+        self.shared.holder().release(&self.team);
         if let Some(charge) = &self.charge {
             let took = self.shared.now().since(charge.start);
             self.shared.lines.ended(&self.team, charge, took);
--- a/crates/daemon/src/proxy/lines.rs
+++ b/crates/daemon/src/proxy/lines.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use cactuswheel_admission::{Place, Queue, Room};
+use cactuswheel_admission::{Concurrency, Queue, QueueRequest};
 use cactuswheel_model::{Code, Map, PoolId, Refusal, Set, Share, TeamId, Time};
 use cactuswheel_routing::Lease;
 use tokio::sync::{Notify, oneshot};
@@ -84,13 +84,13 @@
     /// Corrects teams' weights, in 1/1024.
     pub(crate) fn correct(&self, factors: &Map<TeamId, u32>) {
         let factor = |team: &TeamId| factors.get(team).copied().unwrap_or(1_024);
-        self.lock().values_mut().for_each(|q| q.correct(factor));
+        self.lock().values_mut().for_each(|q| q.set_factors(factor));
     }
 
     /// Notes the end of a request.
     pub(super) fn ended(&self, team: &TeamId, charge: &Charge, took: Duration) {
         if let Some(queue) = self.lock().get_mut(&charge.pool) {
-            queue.ended(team, charge.paid, took);
+            queue.settle_charge(team, charge.paid, took);
         }
         self.freed();
     }
@@ -121,7 +121,7 @@
             return Ok(grant);
         }
         let now = job.shared.now();
-        let place = Place {
+        let place = QueueRequest {
             team: team.id.clone(),
             share: team.share,
             urgent: job.urgent,
@@ -179,14 +179,14 @@
     let (shared, team) = (&job.shared, &job.team);
     match shared.enter(&team.id) {
         Ok(()) => {}
-        Err(e) if e.code == Code::TeamLimit || shared.holder().is_new() => return Ok(None),
+        Err(e) if e.code == Code::TeamLimit || shared.holder().awaits_join() => return Ok(None),
         Err(e) => return Err(e.with_retry(RETRY)),
     }
     let Some(lease) = pick(shared, &job.service.pool) else {
-        shared.holder().leave(&team.id);
+        shared.holder().release(&team.id);
         return Ok(None);
     };
-    let paid = queue.started(&team.id, team.share);
+    let paid = queue.charge(&team.id, team.share);
     let permit = Permit::new(shared, &team.id, charge(shared, &job.service.pool, paid));
     let slot = Slot::new(lease, shared.clone());
     Ok(Some(Grant { permit, slot }))
@@ -209,7 +209,7 @@
 }
 
 /// What the estimate of a wait counts on.
-fn room(job: &Job, now: Time) -> Result<Room, Refusal> {
+fn room(job: &Job, now: Time) -> Result<Concurrency, Refusal> {
     let shared = &job.shared;
     let slots = shared.routes.load().usable(&job.service.pool, now);
     if slots == 0 {
@@ -218,7 +218,7 @@
     let holder = shared.holder();
     let state = shared.state.load();
     let row = state.allotments().row(&job.team.id, holder.life());
-    Ok(Room {
+    Ok(Concurrency {
         slots,
         units: row.map_or(0, |r| r.cap),
     })
@@ -256,12 +256,12 @@
     queue: &mut Queue<Waiter>,
     gone: &mut Vec<Grant>,
 ) {
-    queue.begin(shared.now());
+    queue.begin_round(shared.now());
     while let Some(lease) = pick(shared, pool) {
         let Some((team, waiter)) = queue.pop(|team| shared.enter(team).is_ok()) else {
             return;
         };
-        let paid = queue.started(&team, waiter.share);
+        let paid = queue.charge(&team, waiter.share);
         let permit = Permit::new(shared, &team, charge(shared, pool, paid));
         let slot = Slot::new(lease, shared.clone());
         if let Err(grant) = waiter.grant.send(Grant { permit, slot }) {
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -119,7 +119,7 @@
     pub(crate) fn enter(&self, team: &TeamId) -> Result<(), Refusal> {
         let mut holder = self.holder();
         let state = self.state.load();
-        holder.enter(self.now(), state.allotments(), team)
+        holder.acquire(self.now(), state.allotments(), team)
     }
 
     /// Whether this entry may start work.
--- a/crates/daemon/src/shares.rs
+++ b/crates/daemon/src/shares.rs
@@ -44,7 +44,7 @@
     let teams = || state.config().teams.values().map(|t| &t.id);
     let used: Vec<_> = {
         let holder = shared.holder();
-        teams().map(|t| holder.gate().used(t)).collect()
+        teams().map(|t| holder.units().used(t)).collect()
     };
     let waits = shared.lines.waiting_teams();
     let mut shares = shared.shares();
@@ -57,7 +57,7 @@
     let state = shared.state.load();
     let teams = &state.config().teams;
     let share = |team: &TeamId| teams.get(team).map_or(Share::new(1), |t| t.share);
-    let factors = shared.shares().factors(shared.now(), share);
+    let factors = shared.shares().update_factors(shared.now(), share);
     shared.lines.correct(&factors);
 }
 
@@ -84,8 +84,10 @@
         let team: TeamId = g.team.parse().ok()?;
         let slots = u32::try_from(g.slots).ok()?;
         let waits = g.waits;
-        Some((team, cactuswheel_admission::Given { slots, waits }))
+        Some((team, cactuswheel_admission::TeamUsage { slots, waits }))
     };
     let digest = given.iter().filter_map(row).collect();
-    shared.shares().hear(shared.now(), entry.clone(), digest);
+    shared
+        .shares()
+        .record_digest(shared.now(), entry.clone(), digest);
 }
