--- a/crates/daemon/src/candidates.rs
+++ b/crates/daemon/src/candidates.rs
@@ -1,7 +1,7 @@
 //! Which instances may take work here.
 
 use cactuswheel_model::{DcId, InstanceId};
-use cactuswheel_routing::{Candidate, Life, Nearness, Presences, share};
+use cactuswheel_routing::{Candidate, Life, Nearness, Presences, even_share};
 
 use crate::Settings;
 use crate::basis::Basis;
@@ -31,8 +31,8 @@
         incarnation: life.incarnation,
         addr: life.addr,
         slots: instance.slots,
-        part: share(instance.slots.get(), entries),
-        conns: share(instance.conns, entries),
+        min_slots: even_share(instance.slots.get(), entries),
+        conns: even_share(instance.conns, entries),
         pool: instance.pool.clone(),
         nearness: nearness(basis, &settings.dc, &instance.dc),
     })
@@ -45,6 +45,6 @@
     let region = |dc| basis.dcs.get(dc).map(|d| &d.region);
     match (region(here), region(there)) {
         (Some(a), Some(b)) if a == b => Nearness::SameRegion,
-        _ => Nearness::Far,
+        _ => Nearness::OtherRegion,
     }
 }
--- a/crates/daemon/src/proxy/abandoned.rs
+++ b/crates/daemon/src/proxy/abandoned.rs
@@ -76,18 +76,18 @@
     match sent {
         Ok(Ok(answer)) if is_set(answer.headers(), NOT_RUN) => live.step(Event::Declined),
         Ok(Ok(answer)) => {
-            live.step(Event::Head);
+            live.step(Event::ResponseHead);
             read(answer.into_body(), live).await;
         }
         Ok(Err(mut e)) => {
             let unsent = e.take_message().is_some();
             live.step(if unsent {
-                Event::GivenBack
+                Event::ReturnedUnsent
             } else {
-                Event::Broke
+                Event::Interrupted
             });
         }
-        Err(_) => live.step(Event::Broke),
+        Err(_) => live.step(Event::Interrupted),
     }
 }
 
@@ -100,7 +100,7 @@
         Ok::<_, hyper::Error>(())
     };
     match timeout_at(live.last(), all).await {
-        Ok(Ok(())) => live.step(Event::End),
-        Ok(Err(_)) | Err(_) => live.step(Event::Broke),
+        Ok(Ok(())) => live.step(Event::ResponseEnd),
+        Ok(Err(_)) | Err(_) => live.step(Event::Interrupted),
     }
 }
--- a/crates/daemon/src/proxy/attempt.rs
+++ b/crates/daemon/src/proxy/attempt.rs
@@ -57,7 +57,7 @@
                 ConnError::Spent => (Code::Declined, Outcome::Full),
                 ConnError::Unreachable(_) => (Code::Unreachable, Outcome::Failed),
             };
-            lease.learn(outcome, shared.now());
+            lease.record_outcome(outcome, shared.now());
             return Err(Failure {
                 refusal: Refusal::new(code).with_detail(e.to_string()),
                 ran: Attempt::Connecting.step(Event::NoConnection).ran(),
@@ -90,7 +90,9 @@
         Err(mut e) => {
             // Given back unsent is the one proof from a connection that nothing ran.
             let request = e.take_message();
-            let event = request.as_ref().map_or(Event::Broke, |_| Event::GivenBack);
+            let event = request
+                .as_ref()
+                .map_or(Event::Interrupted, |_| Event::ReturnedUnsent);
             let code = request.as_ref().map_or(Code::Lost, |_| Code::Unreachable);
             return Err(fail(live, event, code, e.error().to_string(), request));
         }
@@ -108,13 +110,13 @@
     if is_unframed(&answer) {
         return Err(fail(
             live,
-            Event::Broke,
+            Event::Interrupted,
             Code::Unframed,
             String::new(),
             None,
         ));
     }
-    live.step(Event::Head);
+    live.step(Event::ResponseHead);
     Ok((answer, live))
 }
 
--- a/crates/daemon/src/proxy/forward.rs
+++ b/crates/daemon/src/proxy/forward.rs
@@ -64,7 +64,7 @@
             let upstream = lease.upstream().clone();
             self.job.address(&mut request, upstream.addr)?;
             let copy = copy(&request);
-            self.exchange.begin();
+            self.exchange.start_attempt();
             let until = Instant::now() + self.job.left();
             match attempt::send(&self.job.shared, request, unit, lease, until).await {
                 Ok(answered) => return Ok(answered),
@@ -143,13 +143,14 @@
     fn may_retry(&mut self, code: Code, ran: Ran, whole: bool) -> bool {
         let shared = &self.job.shared;
         if code == Code::Declined {
-            return self.exchange.declined(whole, shared.now());
+            return self.exchange.retry_after_decline(whole, shared.now());
         }
         let routes = shared.routes.load();
         let Some(budget) = routes.budget(&self.job.service.pool) else {
             return false;
         };
-        self.exchange.failed(ran, whole, shared.now(), budget)
+        self.exchange
+            .retry_after_failure(ran, whole, shared.now(), budget)
     }
 
     /// The refusal, not claiming more than all attempts together prove.
--- a/crates/daemon/src/proxy/live.rs
+++ b/crates/daemon/src/proxy/live.rs
@@ -58,11 +58,11 @@
         self.attempt = self.attempt.step(event);
         let now = self.shared.now();
         match event {
-            Event::Head => self
+            Event::ResponseHead => self
                 .lease
-                .learn(Outcome::Answered(self.sent.elapsed()), now),
-            Event::Declined => self.lease.learn(Outcome::Full, now),
-            Event::Broke => self.lease.learn(Outcome::Failed, now),
+                .record_outcome(Outcome::Answered(self.sent.elapsed()), now),
+            Event::Declined => self.lease.record_outcome(Outcome::Full, now),
+            Event::Interrupted => self.lease.record_outcome(Outcome::Failed, now),
             _ => {}
         }
     }
@@ -81,7 +81,7 @@
 
     /// Ends a whole exchange: the connection may serve the next one.
     pub(super) fn end(mut self) {
-        self.step(Event::End);
+        self.step(Event::ResponseEnd);
         if let Some(conn) = self.conn.take() {
             self.lease.upstream().link.put(conn);
         }
--- a/crates/daemon/src/proxy/relay.rs
+++ b/crates/daemon/src/proxy/relay.rs
@@ -45,7 +45,7 @@
 
     fn fail(&mut self) {
         if let Some(mut live) = self.live.take() {
-            live.step(Event::Broke);
+            live.step(Event::Interrupted);
         }
     }
 }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -152,10 +152,12 @@
 
     /// Takes an upstream's own word that it leaves.
     pub(crate) fn hear_leaving(&self, upstream: &Upstream<Conns>) {
-        if !upstream.leave() {
+        if !upstream.mark_leaving() {
             return;
         }
-        let news = self.presences().leave(&upstream.id, upstream.incarnation);
+        let news = self
+            .presences()
+            .mark_leaving(&upstream.id, upstream.incarnation);
         if news {
             self.reroute();
         }
--- a/crates/daemon/src/sightings.rs
+++ b/crates/daemon/src/sightings.rs
@@ -61,7 +61,7 @@
             addr: seen.addr,
             leaving: seen.presence == Presence::Leaving,
         };
-        changed |= presences.see(&seen.id, life);
+        changed |= presences.update(&seen.id, life);
     }
     drop(presences);
     shared.sightings.store(Arc::new(list));
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -12,11 +12,11 @@
     /// The head of the answer came.
     Answering,
     /// The whole answer came.
-    Whole,
+    Complete,
     /// Over, with proof that the request did not run.
-    Unsent,
+    NotRun,
     /// Over without a whole answer and without proof.
-    Broken,
+    Failed,
 }
 
 /// What happens to an attempt.
@@ -27,15 +27,15 @@
     /// A connection took the request.
     Sent,
     /// The connection gave the request back unsent.
-    GivenBack,
+    ReturnedUnsent,
     /// The upstream answered that it did not run the request.
     Declined,
     /// The head of an ordinary answer came.
-    Head,
+    ResponseHead,
     /// The last byte of the answer came.
-    End,
+    ResponseEnd,
     /// The connection broke, or the time ran out.
-    Broke,
+    Interrupted,
 }
 
 impl Attempt {
@@ -47,22 +47,22 @@
     /// before the connection broke.
     pub fn step(self, event: Event) -> Self {
         match (self, event) {
-            (Self::Connecting, Event::NoConnection) => Self::Unsent,
+            (Self::Connecting, Event::NoConnection) => Self::NotRun,
             (Self::Connecting, Event::Sent) => Self::Sent,
-            (Self::Sent, Event::GivenBack | Event::Declined) => Self::Unsent,
-            (Self::Sent, Event::Head) => Self::Answering,
-            (Self::Answering, Event::End) => Self::Whole,
-            (Self::Whole | Self::Unsent | Self::Broken, _) => self,
-            (Self::Connecting | Self::Sent | Self::Answering, _) => Self::Broken,
+            (Self::Sent, Event::ReturnedUnsent | Event::Declined) => Self::NotRun,
+            (Self::Sent, Event::ResponseHead) => Self::Answering,
+            (Self::Answering, Event::ResponseEnd) => Self::Complete,
+            (Self::Complete | Self::NotRun | Self::Failed, _) => self,
+            (Self::Connecting | Self::Sent | Self::Answering, _) => Self::Failed,
         }
     }
 
     /// What is known of the request's execution now.
     pub fn ran(self) -> Ran {
         match self {
-            Self::Connecting | Self::Unsent => Ran::NotRun,
-            Self::Whole => Ran::Ran,
-            Self::Sent | Self::Answering | Self::Broken => Ran::Unknown,
+            Self::Connecting | Self::NotRun => Ran::NotRun,
+            Self::Complete => Ran::Ran,
+            Self::Sent | Self::Answering | Self::Failed => Ran::Unknown,
         }
     }
 }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -11,38 +11,38 @@
 pub struct RetryBudget {
     /// Hundredths of a retry.
     ///
-    /// Invariant: at most [`Self::MOST`].
+    /// Invariant: at most [`Self::MAX_TOKENS`].
     tokens: AtomicU32,
 }
 
 impl RetryBudget {
     /// A retry, in tokens.
-    const RETRY: u32 = 100;
+    const RETRY_COST: u32 = 100;
 
     /// What one request adds: a fifth of a retry.
-    const REQUEST: u32 = 20;
+    const REQUEST_CREDIT: u32 = 20;
 
     /// Most tokens kept: fifty retries.
-    const MOST: u32 = 50 * Self::RETRY;
+    const MAX_TOKENS: u32 = 50 * Self::RETRY_COST;
 
     /// Counts a request.
     pub fn deposit(&self) {
         let tokens = self.tokens.load(Ordering::Relaxed);
-        if tokens == Self::MOST {
+        if tokens == Self::MAX_TOKENS {
             return;
         }
-        let more = |n: u32| Some((n + Self::REQUEST).min(Self::MOST));
-        // `more` always gives a value, so this cannot fail.
+        let add = |n: u32| Some((n + Self::REQUEST_CREDIT).min(Self::MAX_TOKENS));
+        // `add` always gives a value, so this cannot fail.
         let _ = self
             .tokens
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, more);
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
     }
 
     /// Takes a retry out if there is one.
     pub fn withdraw(&self) -> bool {
-        let less = |n: u32| n.checked_sub(Self::RETRY);
+        let subtract = |n: u32| n.checked_sub(Self::RETRY_COST);
         self.tokens
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, less)
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract)
             .is_ok()
     }
 }
@@ -50,7 +50,7 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            tokens: AtomicU32::new(Self::MOST),
+            tokens: AtomicU32::new(Self::MAX_TOKENS),
         }
     }
 }
--- a/crates/routing/src/lease.rs
+++ b/crates/routing/src/lease.rs
@@ -16,12 +16,12 @@
 
 impl<C> Lease<C> {
     /// Takes a slot of `upstream` if one is free.
-    pub(crate) fn take(
+    pub(crate) fn try_acquire(
         upstream: &Arc<Upstream<C>>,
         pool: &Arc<Pool<C>>,
         now: Time,
     ) -> Option<Self> {
-        upstream.take(now).then(|| Self {
+        upstream.try_acquire(now).then(|| Self {
             upstream: upstream.clone(),
             pool: pool.clone(),
         })
@@ -39,12 +39,12 @@
 
     /// The pool's retries.
     pub fn budget(&self) -> &RetryBudget {
-        &self.pool.kept.budget
+        &self.pool.shared.budget
     }
 
     /// Notes what became of the request; a failure may eject the upstream.
-    pub fn learn(&self, outcome: Outcome, now: Time) {
-        if self.upstream.learn(outcome, now) {
+    pub fn record_outcome(&self, outcome: Outcome, now: Time) {
+        if self.upstream.record_outcome(outcome, now) {
             self.pool.eject(&self.upstream, now);
         }
     }
@@ -52,6 +52,6 @@
 
 impl<C> Drop for Lease<C> {
     fn drop(&mut self) {
-        self.upstream.give();
+        self.upstream.release();
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -18,10 +18,10 @@
 
 pub use attempt::{Attempt, Event};
 pub use budget::RetryBudget;
-pub use exchange::{Exchange, MAX_TRIES};
+pub use exchange::{Exchange, MAX_ATTEMPTS};
 pub use lease::Lease;
 pub use nearness::Nearness;
 pub use presence::{Life, Presences};
 pub use routes::{Candidate, Routes};
-pub use share::share;
+pub use share::even_share;
 pub use upstream::{Outcome, Upstream};
--- a/crates/routing/src/nearness.rs
+++ b/crates/routing/src/nearness.rs
@@ -8,5 +8,5 @@
     /// In another data centre of its region.
     SameRegion,
     /// In another region.
-    Far,
+    OtherRegion,
 }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -5,16 +5,16 @@
 
 use cactuswheel_model::{PoolId, Time};
 
-use crate::health::Standing;
+use crate::health::HealthState;
 use crate::{Lease, Nearness, RetryBudget, Upstream};
 
 /// What a pool keeps while its upstreams come and go.
 #[derive(Debug, Default)]
-pub(crate) struct Kept {
+pub(crate) struct SharedState {
     /// Retries of requests to the pool.
     pub(crate) budget: RetryBudget,
     /// Held while an ejection is decided, so that two at once cannot pass the bound.
-    turn: Mutex<()>,
+    ejection_lock: Mutex<()>,
 }
 
 /// Upstreams by how near they are.
@@ -25,16 +25,16 @@
     ///
     /// Invariant: none is empty.
     tiers: Vec<(Nearness, Vec<Arc<Upstream<C>>>)>,
-    pub(crate) kept: Arc<Kept>,
+    pub(crate) shared: Arc<SharedState>,
 }
 
 impl<C> Pool<C> {
     /// A pool without upstreams.
-    pub(crate) fn new(id: PoolId, kept: Arc<Kept>) -> Self {
+    pub(crate) fn new(id: PoolId, shared: Arc<SharedState>) -> Self {
         Self {
             id,
             tiers: Vec::new(),
-            kept,
+            shared,
         }
     }
 
@@ -58,23 +58,23 @@
         now: Time,
         draw: u64,
     ) -> Option<Lease<C>> {
-        let fresh = |u: &Arc<Upstream<C>>| !tried.iter().any(|t| Arc::ptr_eq(t, u));
+        let untried = |u: &Arc<Upstream<C>>| !tried.iter().any(|t| Arc::ptr_eq(t, u));
         let mut tiers = self.tiers.iter();
-        tiers.find_map(|(_, tier)| self.pick_in(tier, fresh, now, draw))
+        tiers.find_map(|(_, tier)| self.pick_in_tier(tier, untried, now, draw))
     }
 
     /// The cheaper of two random upstreams; if both are full, the first that is not.
     ///
     /// Two choices keep the load nearly even without a look at every upstream, and unlike the
     /// least loaded of all they don't send every entry to the same one.
-    fn pick_in(
+    fn pick_in_tier(
         self: &Arc<Self>,
         tier: &[Arc<Upstream<C>>],
-        fresh: impl Fn(&Arc<Upstream<C>>) -> bool,
+        untried: impl Fn(&Arc<Upstream<C>>) -> bool,
         now: Time,
         draw: u64,
     ) -> Option<Lease<C>> {
-        let [one, other] = two(tier.len(), draw);
+        let [one, other] = two_indices(tier.len(), draw);
         let (mut best, mut second) = (&tier[one], &tier[other]);
         if second.cost(now) < best.cost(now) {
             (best, second) = (second, best);
@@ -83,8 +83,8 @@
         [best, second]
             .into_iter()
             .chain(rest)
-            .filter(|u| fresh(u))
-            .find_map(|u| Lease::take(u, self, now))
+            .filter(|u| untried(u))
+            .find_map(|u| Lease::try_acquire(u, self, now))
     }
 
     /// Whether `upstream` may be ejected.
@@ -93,21 +93,21 @@
     /// would otherwise eject the whole pool, and callers would be refused by upstreams that
     /// nobody asks any more.
     pub(crate) fn eject(&self, upstream: &Upstream<C>, now: Time) {
-        let _turn = self
-            .kept
-            .turn
+        let _lock = self
+            .shared
+            .ejection_lock
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        match upstream.standing(now) {
-            Standing::Ejected => return,
-            Standing::Trial => return upstream.health.eject(now),
-            Standing::Fit => {}
+        match upstream.health_state(now) {
+            HealthState::Ejected => return,
+            HealthState::Probing => return upstream.health.eject(now),
+            HealthState::Healthy => {}
         }
         let all = self.upstreams().count();
-        let unfit = self
+        let unhealthy = self
             .upstreams()
-            .filter(|u| u.standing(now) != Standing::Fit);
-        if unfit.count() < all / 2 {
+            .filter(|u| u.health_state(now) != HealthState::Healthy);
+        if unhealthy.count() < all / 2 {
             upstream.health.eject(now);
         }
     }
@@ -129,7 +129,7 @@
 }
 
 /// Two indices below `len`, different if there are two.
-fn two(len: usize, draw: u64) -> [usize; 2] {
+fn two_indices(len: usize, draw: u64) -> [usize; 2] {
     let scale = |r: u64, len: usize| ((r * len as u64) >> 32) as usize;
     let one = scale(draw >> 32, len);
     if len < 2 {
--- a/crates/routing/src/presence.rs
+++ b/crates/routing/src/presence.rs
@@ -29,19 +29,19 @@
 
 impl Presences {
     /// Takes what the roster lists; whether anything changed.
-    pub fn see(&mut self, id: &InstanceId, seen: Life) -> bool {
+    pub fn update(&mut self, id: &InstanceId, listed: Life) -> bool {
         let Some(life) = self.lives.get_mut(id) else {
-            self.lives.insert(id.clone(), seen);
+            self.lives.insert(id.clone(), listed);
             return true;
         };
-        let next = merge(*life, seen);
+        let next = merge(*life, listed);
         let changed = *life != next;
         *life = next;
         changed
     }
 
     /// Takes an instance's own word that it leaves; whether that is news.
-    pub fn leave(&mut self, id: &InstanceId, incarnation: Incarnation) -> bool {
+    pub fn mark_leaving(&mut self, id: &InstanceId, incarnation: Incarnation) -> bool {
         match self.lives.get_mut(id) {
             Some(life) if life.incarnation == incarnation => {
                 !std::mem::replace(&mut life.leaving, true)
@@ -61,15 +61,15 @@
     }
 }
 
-fn merge(known: Life, seen: Life) -> Life {
-    if seen.incarnation < known.incarnation {
+fn merge(known: Life, listed: Life) -> Life {
+    if listed.incarnation < known.incarnation {
         return known;
     }
-    if seen.incarnation > known.incarnation {
-        return seen;
+    if listed.incarnation > known.incarnation {
+        return listed;
     }
     Life {
-        leaving: known.leaving || seen.leaving,
-        ..seen
+        leaving: known.leaving || listed.leaving,
+        ..listed
     }
 }
--- a/crates/routing/src/routes.rs
+++ b/crates/routing/src/routes.rs
@@ -10,7 +10,7 @@
 use crate::{Lease, Nearness, RetryBudget, Upstream};
 
 /// When to come back to a pool without a free slot.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// An instance that may take work: described by operators, not leaving, not drained.
 #[derive(Debug, Clone)]
@@ -24,7 +24,7 @@
     /// Requests that it runs at once.
     pub slots: Slots,
     /// This entry's part of the slots, which it counts on in any case.
-    pub part: u32,
+    pub min_slots: u32,
     /// Connections that this entry may have open to it.
     pub conns: u32,
     /// Its pool.
@@ -42,23 +42,23 @@
 impl<C: Default> Routes<C> {
     /// Routes over `candidates`, which go on with what `old` knows and has running.
     pub fn new(candidates: impl IntoIterator<Item = Candidate>, old: &Self) -> Self {
-        let known: Map<_, _> = old
+        let reusable: Map<_, _> = old
             .upstreams()
             .map(|u| ((&u.id, u.incarnation, u.addr, u.slots, u.conns), u))
             .collect();
         let mut pools: Map<PoolId, Pool<C>> = Map::default();
         for c in candidates {
             let (pool, nearness) = (c.pool.clone(), c.nearness);
-            let upstream = match known.get(&(&c.id, c.incarnation, c.addr, c.slots, c.conns)) {
+            let upstream = match reusable.get(&(&c.id, c.incarnation, c.addr, c.slots, c.conns)) {
                 Some(u) => Arc::clone(u),
                 None => Arc::new(Upstream::new(c)),
             };
-            let kept = || match old.pools.get(&pool) {
-                Some(p) => p.kept.clone(),
+            let shared = || match old.pools.get(&pool) {
+                Some(p) => p.shared.clone(),
                 None => Arc::default(),
             };
             let entry = pools.entry(pool.clone());
-            let pool = entry.or_insert_with(|| Pool::new(pool.clone(), kept()));
+            let pool = entry.or_insert_with(|| Pool::new(pool.clone(), shared()));
             pool.add(nearness, upstream);
         }
         let pools = pools.into_iter().map(|(id, p)| (id, Arc::new(p)));
@@ -80,7 +80,7 @@
     ) -> Result<Lease<C>, Refusal> {
         let pool = self.pools.get(pool);
         let lease = pool.and_then(|p| p.pick(tried, now, draw));
-        lease.ok_or_else(|| Refusal::new(Code::NoUpstream).with_retry(RETRY))
+        lease.ok_or_else(|| Refusal::new(Code::NoUpstream).with_retry(RETRY_DELAY))
     }
 
     /// Slots of `pool` that this entry may count on at `now`, taken ones included.
@@ -96,7 +96,7 @@
 
     /// Retries of requests to `pool`.
     pub fn budget(&self, pool: &PoolId) -> Option<&RetryBudget> {
-        self.pools.get(pool).map(|p| &p.kept.budget)
+        self.pools.get(pool).map(|p| &p.shared.budget)
     }
 
     /// All upstreams.
--- a/crates/routing/src/window.rs
+++ b/crates/routing/src/window.rs
@@ -8,52 +8,54 @@
 /// entry's own part is always used; what goes beyond it is learned.
 #[derive(Debug)]
 pub(crate) struct Window {
-    /// In parts of a slot, see [`Self::PARTS`].
+    /// In parts of a slot, see [`Self::STEPS_PER_SLOT`].
     ///
-    /// Invariant: from `least` to `most` slots.
-    parts: AtomicU32,
+    /// Invariant: from `min_slots` to `max_slots` slots.
+    steps: AtomicU32,
     /// This entry's own part, in slots.
-    least: u32,
+    min_slots: u32,
     /// All that it may use, in slots.
-    most: u32,
+    max_slots: u32,
 }
 
 impl Window {
     /// Parts of a slot: that many answers let the estimate grow by one slot.
-    const PARTS: u32 = 64;
+    const STEPS_PER_SLOT: u32 = 64;
 
     /// An estimate that begins with twice the entry's own part.
     ///
     /// Begun with all slots, every entry would have most of its first burst refused.
-    pub(crate) fn new(least: u32, most: u32) -> Self {
-        let least = least.min(most);
-        let first = (2 * least).min(most);
+    pub(crate) fn new(min_slots: u32, max_slots: u32) -> Self {
+        let min_slots = min_slots.min(max_slots);
+        let first = (2 * min_slots).min(max_slots);
         Self {
-            parts: AtomicU32::new(first * Self::PARTS),
-            least,
-            most,
+            steps: AtomicU32::new(first * Self::STEPS_PER_SLOT),
+            min_slots,
+            max_slots,
         }
     }
 
     /// The estimate in whole slots.
     pub(crate) fn get(&self) -> u32 {
-        self.parts.load(Ordering::Relaxed) / Self::PARTS
+        self.steps.load(Ordering::Relaxed) / Self::STEPS_PER_SLOT
     }
 
     /// Notes an answer.
     pub(crate) fn grow(&self) {
-        let parts = self.parts.load(Ordering::Relaxed);
-        if parts < self.most * Self::PARTS {
+        let steps = self.steps.load(Ordering::Relaxed);
+        if steps < self.max_slots * Self::STEPS_PER_SLOT {
             // A lost update costs one part.
-            self.parts.store(parts + 1, Ordering::Relaxed);
+            self.steps.store(steps + 1, Ordering::Relaxed);
         }
     }
 
     /// Notes that the upstream was full while this entry had `running` requests there, the
     /// refused one included.
     pub(crate) fn shrink(&self, running: u32) {
-        let slots = running.saturating_sub(1).clamp(self.least, self.most);
-        let parts = slots * Self::PARTS;
-        self.parts.fetch_min(parts, Ordering::Relaxed);
+        let slots = running
+            .saturating_sub(1)
+            .clamp(self.min_slots, self.max_slots);
+        let steps = slots * Self::STEPS_PER_SLOT;
+        self.steps.fetch_min(steps, Ordering::Relaxed);
     }
 }
