--- a/crates/admission/examples/decision_cost.rs
+++ b/crates/admission/examples/decision_cost.rs
@@ -1,5 +1,6 @@
-//! What admission costs: time for each decision at several numbers of teams and entries, for the
-//! fold of one report of units, and the state's size. The last size is the one designed for.
+//! Cost of admission: the time per decision for several numbers of teams and entries, the time to
+//! fold one usage report into the state, and the size of the state. The last size is the design
+//! size.
 //!
 //! cargo run --release -p cactuswheel-admission --example decision_cost
 
@@ -11,7 +12,7 @@
 use cactuswheel_model::{Holding, LifeId, Offset, Record, Share, TeamId, Time, Timing, Usage};
 use serde_json::json;
 
-/// Teams and entries.
+/// Numbers of teams and entries.
 const SIZES: [(usize, usize); 4] = [(6, 9), (40, 75), (80, 150), (160, 225)];
 const ROUNDS: usize = 200_000;
 
@@ -27,11 +28,11 @@
     state.apply(state.next(), body);
 }
 
-fn told(holding: Holding) -> String {
+fn holding_record(holding: Holding) -> String {
     serde_json::to_string(&Record::Holding(holding)).unwrap()
 }
 
-/// A fleet whose entries have all joined.
+/// The state of a fleet whose entries have all joined.
 fn fleet(teams: usize, entries: usize) -> State {
     let mut state = State::default();
     let limit = |n: usize| json!({"team": {"id": team(n), "share": 1 + n % 4, "limit": 2_000}});
@@ -44,7 +45,7 @@
             dc: format!("d{}", n % 25).parse().unwrap(),
             timing: Timing::default(),
         };
-        append(&mut state, &told(join));
+        append(&mut state, &holding_record(join));
     }
     state
 }
@@ -69,7 +70,7 @@
     let mut holder = Holder::new(life(0), "d0".parse().unwrap(), Timing::default());
     holder.record_log_read(Time::new(1));
     let now = Time::new(2);
-    measure("unit taken and given back", ROUNDS, |n| {
+    measure("unit acquired and released", ROUNDS, |n| {
         let team = &teams[n % count];
         if holder.acquire(now, state.allotments(), team).is_ok() {
             holder.release(black_box(team));
@@ -79,7 +80,7 @@
     let snapshot = serde_json::to_vec(state.allotments()).unwrap();
     println!("allotments as JSON: {} bytes", snapshot.len());
     let mut bytes = 0;
-    measure("report of up to 16 teams folded", 500, |n| {
+    measure("usage report of up to 16 teams folded", 500, |n| {
         let rows = (0..count.min(16)).map(|t| Usage {
             team: teams[t].clone(),
             want: (n % 40) as u32,
@@ -88,11 +89,11 @@
         });
         let rows = rows.collect();
         let life = life(n % entries);
-        let body = told(Holding::Usage { life, rows });
+        let body = holding_record(Holding::Usage { life, rows });
         bytes = body.len();
         append(&mut state, &body);
     });
-    println!("report as a record: {bytes} bytes");
+    println!("usage report as a record: {bytes} bytes");
 }
 
 fn queue(teams: &[TeamId]) {
@@ -108,16 +109,16 @@
         urgent: n.is_multiple_of(10),
         deadline: Time::new(1_000_000),
     };
-    measure("start where nobody waits", ROUNDS, |n| {
-        let paid = queue.charge(&teams[n % teams.len()], Share::new(1));
+    measure("start without waiting requests", ROUNDS, |n| {
+        let paid = queue.charge_start(&teams[n % teams.len()], Share::new(1));
         queue.settle_charge(&teams[n % teams.len()], paid, Duration::from_millis(20));
     });
     (0..teams.len() * 10).for_each(|n| drop(queue.push(now, place(n), room, n)));
-    measure("put in and taken out, all teams waiting", ROUNDS, |n| {
+    measure("push and pop, all teams waiting", ROUNDS, |n| {
         let _ = black_box(queue.push(now, place(n), room, n));
         queue.begin_round(now);
         if let Some((team, _)) = queue.pop(|_| true) {
-            queue.charge(&team, Share::new(1));
+            queue.charge_start(&team, Share::new(1));
         }
     });
 }
--- a/crates/admission/src/contact.rs
+++ b/crates/admission/src/contact.rs
@@ -1,31 +1,35 @@
-//! How long ago the fleet was last heard of.
+//! How recently this entry was in contact with the log and its peers.
 
 use cactuswheel_model::{Time, Timing};
 
-/// Whether an entry may still start work, measured from what it asked itself.
+/// The send times of the newest successful log read and lease renewal of this entry.
 ///
-/// Only the time at which a question was sent counts: an answer may be old when it is read,
-/// but it was true at some moment after the question.
+/// They decide whether the entry may still start work. The times at which requests were sent
+/// count, not those at which responses arrived: a response may be outdated when it is processed,
+/// but it was true at some moment after its request was sent.
 #[derive(Debug, Default)]
 pub struct LastContact {
-    /// When the newest question was sent that the log answered with nothing unread.
+    /// Send time of the newest log read after which no records were left unread.
     log: Option<Time>,
-    /// When the newest question was sent that a peer answered with a renewal.
+    /// Send time of the newest heartbeat that a peer answered with a renewal.
     peer: Option<Time>,
 }
 
 impl LastContact {
-    /// The log had nothing unread, asked at `sent`.
+    /// Records that a log read sent at `sent` left no records unread.
     pub fn record_log_read(&mut self, sent: Time) {
         self.log = self.log.max(Some(sent));
     }
 
-    /// A peer renewed, asked at `sent`.
+    /// Records that a peer renewed this entry in response to a heartbeat sent at `sent`.
     pub fn record_renewal(&mut self, sent: Time) {
         self.peer = self.peer.max(Some(sent));
     }
 
     /// Whether work may start at `now`.
+    ///
+    /// The log or a peer must have responded within the fence time, and the log within the
+    /// cut-off time or the fence time, whichever is longer.
     pub fn is_recent(&self, now: Time, timing: Timing) -> bool {
         let within = |at: Option<Time>, millis: u64| {
             at.is_some_and(|at| now.since(at).as_millis() < u128::from(millis))
--- a/crates/admission/src/denials.rs
+++ b/crates/admission/src/denials.rs
@@ -1,57 +1,60 @@
-//! Withdrawn keys that the log may not show yet.
+//! Denied keys that may not be in the log yet.
 
 use cactuswheel_model::{Denial, Digest, Map, Time};
 
-/// Denials kept; each is a few dozen bytes.
+/// Maximum number of pending denials; each takes a few dozen bytes.
 const MAX_DENIALS: usize = 10_000;
 
-/// Denials told to a peer at once.
+/// Maximum number of denials in one heartbeat to a peer.
 const MAX_PER_BEAT: usize = 32;
 
-/// Denials in force here and on their way to the peers and the log.
+/// Denials that this entry enforces and that still have to reach the peers and the log.
 ///
-/// Invariant: one that is not in the log's state yet stays here.
+/// Invariant: a denial stays here until it is in the state folded from the log.
 #[derive(Debug, Clone, Default)]
 pub struct Denials {
-    pending: Map<Digest, PendingDenial>,
+    by_digest: Map<Digest, PendingDenial>,
 }
 
 #[derive(Debug, Clone)]
 struct PendingDenial {
     denial: Denial,
-    /// When it is to be appended.
+    /// When to append it to the log.
     due: Time,
 }
 
 impl Denials {
-    /// Whether a key is denied.
+    /// Whether the key with this digest has a pending denial.
     pub fn contains(&self, digest: &Digest) -> bool {
-        self.pending.contains_key(digest)
+        self.by_digest.contains_key(digest)
     }
 
-    /// Whether there is none.
+    /// Whether there are no pending denials.
     pub fn is_empty(&self) -> bool {
-        self.pending.is_empty()
+        self.by_digest.is_empty()
     }
 
-    /// Takes a denial that this entry appends at `due`, if nobody has before; whether it is news.
+    /// Adds a denial that this entry appends to the log at `due`, unless the log has it by then.
+    ///
+    /// Returns false if the key is already denied here or the maximum number of denials is
+    /// reached.
     pub fn insert(&mut self, denial: Denial, due: Time) -> bool {
-        if self.contains(&denial.digest) || self.pending.len() >= MAX_DENIALS {
+        if self.contains(&denial.digest) || self.by_digest.len() >= MAX_DENIALS {
             return false;
         }
-        self.pending
+        self.by_digest
             .insert(denial.digest, PendingDenial { denial, due });
         true
     }
 
-    /// Forgets those that the log's state holds by now.
-    pub fn remove_recorded(&mut self, recorded: impl Fn(&Digest) -> bool) {
-        self.pending.retain(|digest, _| !recorded(digest));
+    /// Removes the denials that are now in the state folded from the log.
+    pub fn prune(&mut self, recorded: impl Fn(&Digest) -> bool) {
+        self.by_digest.retain(|digest, _| !recorded(digest));
     }
 
-    /// Those to append now; each is due again after `pause`.
+    /// Returns the denials to append at `now`; each becomes due again after `pause`.
     pub fn take_due(&mut self, now: Time, pause: std::time::Duration) -> Vec<Denial> {
-        let due = self.pending.values_mut().filter(|p| p.due <= now);
+        let due = self.by_digest.values_mut().filter(|p| p.due <= now);
         due.map(|pending| {
             pending.due = now.after(pause);
             pending.denial.clone()
@@ -59,11 +62,11 @@
         .collect()
     }
 
-    /// Some to tell a peer; `turn` picks others each time if there are many.
+    /// Returns at most 32 denials to send to a peer; successive values of `turn` cycle through all.
     pub fn batch(&self, turn: usize) -> impl Iterator<Item = &Denial> {
-        let parts = self.pending.len().div_ceil(MAX_PER_BEAT).max(1);
+        let parts = self.by_digest.len().div_ceil(MAX_PER_BEAT).max(1);
         let from = (turn % parts) * MAX_PER_BEAT;
-        self.pending
+        self.by_digest
             .values()
             .skip(from)
             .take(MAX_PER_BEAT)
--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -1,24 +1,25 @@
-//! One team's line in a queue.
+//! The waiting requests of one team in a queue.
 
 use std::collections::VecDeque;
 
 use cactuswheel_model::{Share, Time};
 
-/// Unit of a correction factor.
+/// The correction factor that leaves a weight unchanged.
 pub(crate) const UNIT_FACTOR: u32 = 1 << 10;
 
-/// Fraction bits of virtual time.
+/// Number of fraction bits of virtual time.
 const FRACTION_BITS: u32 = 16;
 
-/// Waiting requests of one team, and how far it has come in virtual time.
+/// The waiting requests of one team and its position in virtual time.
 #[derive(Debug)]
 pub(crate) struct Flow<T> {
-    /// Where its next request starts in virtual time.
+    /// Virtual start time of the team's next request.
     pub(crate) start_tag: u64,
-    /// Its weight, corrected by what the fleet gave it elsewhere, in units of `UNIT_FACTOR`.
+    /// The team's share times `factor`, which corrects for the slots that the team uses at other
+    /// entries; in units of 1/`UNIT_FACTOR`.
     weight: u64,
     factor: u32,
-    /// The round in which it was last passed over.
+    /// The last scheduling round in which the team was skipped.
     pub(crate) skipped_round: u64,
     pub(crate) urgent: VecDeque<Item<T>>,
     pub(crate) normal: VecDeque<Item<T>>,
@@ -32,7 +33,7 @@
 }
 
 impl<T> Flow<T> {
-    /// A line that starts at `start_tag`.
+    /// Creates an empty flow whose next request starts at `start_tag`.
     pub(crate) fn new(start_tag: u64) -> Self {
         Self {
             start_tag,
@@ -55,7 +56,7 @@
         self.weight = share.max(1) * u64::from(self.factor);
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.urgent.len() + self.normal.len()
     }
@@ -64,12 +65,12 @@
         self.weight
     }
 
-    /// The lowest goes first.
+    /// Sort key: the team with the lowest key is served first.
     pub(crate) fn order_key(&self) -> (bool, u64) {
         (self.urgent.is_empty(), self.start_tag)
     }
 
-    /// Virtual time that `millis` of a slot cost this team.
+    /// Virtual time that `millis` of slot time cost this team.
     pub(crate) fn cost(&self, millis: u64) -> u64 {
         (millis << FRACTION_BITS) * u64::from(UNIT_FACTOR) / self.weight
     }
--- a/crates/admission/src/holder.rs
+++ b/crates/admission/src/holder.rs
@@ -1,4 +1,4 @@
-//! An entry's life as a holder of units of teams' limits.
+//! The part of an entry that holds units of the teams' limits.
 
 use cactuswheel_fleet::{AllotmentRow, Allotments, Life};
 use cactuswheel_model::{
@@ -7,29 +7,29 @@
 
 use crate::{LastContact, UnitCounter};
 
-/// Reports of all entries together, per second; each entry takes an even part.
+/// Usage reports of all entries together, per second; each entry sends an equal part of them.
 ///
-/// With reports of 16 rows, 0.8 KB each, this is 4.8 KB of log to read a second.
+/// With reports of 16 rows, 0.8 KB each, an entry reads 4.8 KB of reports from the log per second.
 const REPORTS_PER_SECOND: u64 = 6;
 
-/// Shortest time between two reports of one entry, in milliseconds.
+/// Minimum time between two reports of one entry, in milliseconds.
 const MIN_REPORT_MS: u64 = 300;
 
-/// Time for which demand is remembered, in milliseconds, at least; twice that at most.
+/// Length of a demand window, in milliseconds; peak demand is remembered for one to two windows.
 ///
-/// Demand comes in bursts of seconds: units given away between two requests of one burst would
-/// have to come back through the log.
+/// Demand comes in bursts of seconds: units given up between two requests of one burst would have
+/// to be allotted again through the log.
 const DEMAND_WINDOW_MS: u128 = 5_000;
 
-/// Most rows in one report.
+/// Maximum number of rows in one report.
 const MAX_REPORT_ROWS: usize = 16;
 
-/// Decides what may start here, and which records to append.
+/// Decides which requests may start at this entry, and which records it appends to the log.
 ///
-/// Invariant: for each team, units in use here are at most those that the log's fold counts as
-/// occupied here, at every moment and on every node. It rests on: work starts only below the
-/// cap that was read; a report names the allotment that was obeyed; and a life that others have
-/// given up has not started anything for the longest run.
+/// Invariant: for each team, the units in use here never exceed those that any node that folds the
+/// log counts as occupied here. Three rules ensure this: work starts only below the cap that was
+/// read from the log; a report names the epoch of the allotment that the entry obeyed; and a life
+/// whose units are freed by others has not started anything for the longest run time.
 #[derive(Debug)]
 pub struct Holder {
     life: LifeId,
@@ -37,37 +37,37 @@
     timing: Timing,
     units: UnitCounter,
     contact: LastContact,
-    /// Whether the log has shown this life as one that holds units.
+    /// Whether this life has been read from the log.
     joined: bool,
-    /// Whether it is stopping.
+    /// Whether the entry is shutting down.
     leaving: bool,
-    /// When each peer's life was last heard of.
+    /// When the last heartbeat from each peer's life arrived.
     last_heard: Map<LifeId, Time>,
-    /// When each life of this data centre was first seen in the log.
+    /// When each life of this data centre was first read from the log.
     first_seen: Map<LifeId, Time>,
-    /// Revoked lives of this data centre, and what was read of them when.
+    /// Revoked lives of this data centre, and when their revocations were read.
     revoked: Map<LifeId, RevocationRead>,
-    /// When it last reported.
+    /// When the last usage report was due.
     last_report: Option<Time>,
-    /// When the demand seen was last forgotten.
+    /// Start of the current demand window.
     window_start: Time,
-    /// Where the next report goes on.
+    /// Index of the first row of the next report, modulo the number of rows.
     next_row: usize,
 }
 
-/// When this entry read of a revocation.
+/// When this entry read a revocation from the log.
 #[derive(Debug)]
 struct RevocationRead {
-    /// Reading of the revocation itself.
+    /// When the revocation was first read.
     first_read: Time,
-    /// From where the peers count.
+    /// Log offset from which the witnesses count.
     since: Offset,
-    /// Reading of that.
+    /// When `since` was read.
     since_read: Time,
 }
 
 impl Holder {
-    /// A life of an entry in `dc`.
+    /// Creates the state of `life`, an entry in data centre `dc`.
     pub fn new(life: LifeId, dc: DcId, timing: Timing) -> Self {
         Self {
             life,
@@ -86,33 +86,33 @@
         }
     }
 
-    /// This life.
+    /// The life of this entry.
     pub fn life(&self) -> &LifeId {
         &self.life
     }
 
-    /// Whether the log has not shown this life yet.
+    /// Whether this life has not been read from the log yet.
     pub fn awaits_join(&self) -> bool {
         !self.joined
     }
 
-    /// The times that it binds itself to.
+    /// The timeouts that this entry commits to.
     pub fn timing(&self) -> Timing {
         self.timing
     }
 
-    /// What is in use here.
+    /// The units in use at this entry.
     pub fn units(&self) -> &UnitCounter {
         &self.units
     }
 
-    /// Whether work may start here at all.
+    /// Whether any work may start at this entry.
     pub fn is_open(&self, now: Time, known: &Allotments) -> bool {
         let open = known.life(&self.life).is_some_and(Life::is_open);
         open && !self.leaving && self.contact.is_recent(now, self.timing)
     }
 
-    /// Takes a unit for `team`. `known` has to be the newest state that this entry has read.
+    /// Acquires a unit for `team`; `known` must be the newest state that this entry has read.
     pub fn acquire(&mut self, now: Time, known: &Allotments, team: &TeamId) -> Result<(), Refusal> {
         if !self.is_open(now, known) {
             return Err(Refusal::new(Code::Fenced));
@@ -125,49 +125,51 @@
         Err(Refusal::new(Code::TeamLimit))
     }
 
-    /// Gives a unit back.
+    /// Releases a unit of `team`.
     pub fn release(&mut self, team: &TeamId) {
         self.units.release(team);
     }
 
-    /// Gives a unit back once its request, admitted at `start`, has surely ended.
+    /// Releases a unit once its request, admitted at `start`, has certainly ended.
     ///
-    /// Failure: an answer is lost, the unit is given back at once, and the next request runs
-    /// beside the first one, which still runs upstream: one over the limit.
+    /// If the unit of a request whose response was lost were released at once, the next request
+    /// would run while the first one still runs upstream, and the team would exceed its limit by
+    /// one.
     pub fn release_after_run(&mut self, start: Time, team: &TeamId) {
         self.units.release_at(team, start.after(self.timing.lost()));
     }
 
-    /// Starts nothing more; the units are handed back when all has ended.
+    /// Stops admitting requests; the entry leaves once all its running requests have ended.
     pub fn start_leaving(&mut self) {
         self.leaving = true;
     }
 
-    /// The log, asked at `sent`, had nothing that was not read.
+    /// Records that a log read sent at `sent` left no records unread.
     pub fn record_log_read(&mut self, sent: Time) {
         self.contact.record_log_read(sent);
     }
 
-    /// A peer, told at `sent` that this life is up, renewed it.
+    /// Records that a peer renewed this life in response to a heartbeat sent at `sent`.
     pub fn record_renewal(&mut self, sent: Time) {
         self.contact.record_renewal(sent);
     }
 
-    /// A peer's life was heard of.
+    /// Records a heartbeat from a peer's life.
     pub fn record_heartbeat(&mut self, now: Time, life: &LifeId) {
         self.last_heard.insert(life.clone(), now);
     }
 
-    /// Whether this life renews a peer's.
+    /// Whether this entry may renew the life of a peer.
     ///
-    /// Failure: a renewal after the revocation was read, or from a life that has itself ended,
-    /// keeps a peer going whose units others have taken over.
+    /// A renewal sent after the peer's revocation was read, or by an entry that may itself no
+    /// longer start work, would let the peer continue although others have taken over its units.
     pub fn may_renew(&self, now: Time, known: &Allotments, life: &LifeId) -> bool {
         let mine = known.life(life).filter(|l| l.dc == self.dc);
         mine.is_some_and(Life::is_open) && self.is_open(now, known)
     }
 
-    /// Records to append now; `nonce` is fresh and random, for a next life.
+    /// Returns the records to append at `now`; `nonce` is a fresh random number, used if the entry
+    /// needs a new life.
     pub fn tick(&mut self, now: Time, known: &Allotments, nonce: u64) -> Vec<Holding> {
         self.units.expire(now);
         self.observe_lives(now, known);
@@ -194,7 +196,7 @@
             return Vec::new();
         }
         if self.joined {
-            // Others gave this life up; a number is never used again.
+            // Other entries have freed this life; its nonce must not be reused.
             self.life.nonce = nonce;
             self.joined = false;
         }
@@ -205,7 +207,7 @@
         }]
     }
 
-    /// Remembers what the log says of this data centre's lives, and when that was read.
+    /// Records when the lives of this data centre and their revocations were read from the log.
     fn observe_lives(&mut self, now: Time, known: &Allotments) {
         self.first_seen.retain(|life, _| known.life(life).is_some());
         self.last_heard.retain(|life, _| known.life(life).is_some());
@@ -227,12 +229,12 @@
         }
     }
 
-    /// Revokes peers that are not heard of.
+    /// Revokes peers whose heartbeats have stopped.
     fn revoke_silent(&self, now: Time, known: &Allotments) -> Vec<Holding> {
         let silent = |id: &LifeId, life: &Life| {
             let (since, limit) = match self.last_heard.get(id) {
                 Some(at) => (*at, life.timing.fence),
-                // It may be one that this entry has no link to.
+                // This entry may have no link to that peer, hence the longer timeout.
                 None => (*self.first_seen.get(id).unwrap_or(&now), life.timing.cut),
             };
             now.since(since).as_millis() >= u128::from(limit)
@@ -248,7 +250,7 @@
             .collect()
     }
 
-    /// Gives its word on revoked peers that it has not renewed for long enough.
+    /// Witnesses that revoked peers have not been renewed by this entry for long enough.
     fn witness_revoked(&self, now: Time, known: &Allotments) -> Vec<Holding> {
         let mut witnesses = Vec::new();
         for (id, read) in &self.revoked {
@@ -289,7 +291,7 @@
         if rows.is_empty() {
             return None;
         }
-        // In turns, so that no team waits for ever behind the first ones.
+        // Rotates the first row, so that no team is starved by the teams before it.
         let from = self.next_row % rows.len();
         self.next_row = self.next_row.wrapping_add(MAX_REPORT_ROWS);
         let rows = rows
@@ -301,7 +303,7 @@
         Some(Holding::Usage { life, rows })
     }
 
-    /// What the log should know of a team, if it differs enough to be worth a record.
+    /// Returns the usage of a team if it differs enough from the log's to be worth a record.
     fn usage_change(&mut self, team: &TeamId, row: &AllotmentRow) -> Option<Usage> {
         let used = self.units.used(team);
         let want = round_up(self.units.demand(team).max(used));
@@ -317,7 +319,7 @@
     }
 }
 
-/// The next power of two: small changes of demand are not worth a record.
+/// Rounds up to a power of two, since small changes of demand are not worth a record.
 fn round_up(n: u32) -> u32 {
     if n == 0 { 0 } else { n.next_power_of_two() }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,7 @@
-//! Who may start work now: keys and teams' limits.
+//! Admission control of an entry: denied keys, the limits of teams and fair queueing.
 //!
-//! Decides only; it does no I/O and reads no clock. The daemon asks it for each request and
-//! tells it when the request has ended.
+//! The crate is pure logic: it does no I/O and reads no clock. The daemon calls it to admit each
+//! request and again when the request has ended.
 
 mod contact;
 mod denials;
--- a/crates/admission/src/mesh.rs
+++ b/crates/admission/src/mesh.rs
@@ -1,31 +1,32 @@
-//! Which entries beat to each other.
+//! The graph of entries that exchange heartbeats.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
 use cactuswheel_model::{DcId, EntryId};
 
-/// Links from each data centre to others chosen by hash, beside those to its neighbours.
+/// Links from each data centre to others chosen by hash, in addition to its neighbours in the
+/// ring.
 const CHORDS: usize = 1;
 
-/// Pairs of entries that join two linked data centres; one may be down.
+/// Pairs of entries that connect two linked data centres; with two, one pair may be down.
 const GATEWAYS: usize = 2;
 
 /// An entry and its data centre.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MeshNode {
-    /// Its name.
+    /// Name of the entry.
     pub entry: EntryId,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub dc: DcId,
 }
 
-/// The peers of `me` among `nodes`.
+/// Returns the peers of `me` among `nodes`.
 ///
-/// All of its data centre, since they renew each other; between data centres a ring in order of
-/// their names with a chord for each, so the graph stays connected with any one data centre
-/// gone and news crosses it in few hops. Every entry works out the same links from the same
-/// list; a link is known at both of its ends.
+/// All entries of a data centre are peers, since they renew each other. Data centres are linked
+/// in a ring ordered by name, with one additional chord from each, so the graph stays connected
+/// when any one data centre is down and messages cross it in few hops. All entries compute the
+/// same links from the same list, so both ends of a link know it.
 pub fn peers<'a>(nodes: &'a [MeshNode], me: &MeshNode) -> Vec<&'a MeshNode> {
     let mut dcs: BTreeMap<&DcId, Vec<&MeshNode>> = BTreeMap::new();
     for node in nodes {
@@ -52,7 +53,7 @@
     peers
 }
 
-/// Linked data centres, each pair once.
+/// Returns the pairs of linked data centres, each pair once.
 fn linked_dcs<'a>(names: &[&'a DcId]) -> BTreeSet<(&'a DcId, &'a DcId)> {
     let count = names.len();
     let mut pairs = BTreeSet::new();
@@ -68,12 +69,13 @@
     pairs
 }
 
-/// The entry that holds the end of a link; neighbours in order take the pairs of one link.
+/// Returns the entry at one end of pair `index` of a link; successive pairs use successive
+/// entries.
 fn gateway<'a>(entries: &[&'a MeshNode], link: (&DcId, &DcId), index: usize) -> &'a MeshNode {
     entries[(hash(&link) as usize + index) % entries.len()]
 }
 
-/// The same at every entry and in every build.
+/// A hash that is the same at every entry and in every build.
 fn hash<T: Hash>(value: &T) -> u64 {
     let mut hasher = rustc_hash::FxHasher::default();
     value.hash(&mut hasher);
--- a/crates/admission/src/queue_request.rs
+++ b/crates/admission/src/queue_request.rs
@@ -1,16 +1,16 @@
-//! What a waiting request asks for.
+//! The queueing parameters of a request.
 
 use cactuswheel_model::{Share, TeamId, Time};
 
-/// Whose request waits, how urgently and until when.
+/// The team, priority and deadline of a request that is queued.
 #[derive(Debug, Clone)]
 pub struct QueueRequest {
-    /// The team.
+    /// The team that sent the request.
     pub team: TeamId,
-    /// Its weight against other teams.
+    /// The team's weight relative to other teams.
     pub share: Share,
-    /// Whether it goes before all that are not.
+    /// Whether it precedes all requests that are not urgent.
     pub urgent: bool,
-    /// When it has to have started.
+    /// Time by which it must have started.
     pub deadline: Time,
 }
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -1,48 +1,48 @@
-//! How near each team is to its share over all entries.
+//! Correction of the teams' local weights towards their shares of the whole fleet.
 
 use cactuswheel_model::{EntryId, Map, Share, TeamId, Time};
 
-/// Fraction bits of a count of slots.
+/// Number of fraction bits of a slot count.
 const FRACTION_BITS: u32 = 8;
 
-/// Weight of a new sample, as a shift.
+/// A new sample has a weight of 1/2^`WEIGHT_SHIFT`.
 const WEIGHT_SHIFT: u32 = 3;
 
-/// Age from which a peer's digest counts no more, in milliseconds.
+/// Age at which a peer's digest is discarded, in milliseconds.
 const STALE_AFTER_MS: u128 = 10_000;
 
-/// No correction.
+/// The factor that leaves a weight unchanged.
 const UNIT_FACTOR: u64 = 1024;
 
-/// Bounds of a correction: a team's local weight moves by at most this.
+/// Lowest and highest correction factor of a team's local weight.
 const FACTOR_RANGE: (u64, u64) = (64, 16_384);
 
-/// What one entry gives a team.
+/// The slots of one entry that a team uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TeamUsage {
-    /// Slots in use, a moving mean in 1/256.
+    /// Slots in use, a moving average in 1/256 of a slot.
     pub slots: u32,
-    /// Whether requests of the team wait there.
+    /// Whether requests of the team are waiting at that entry.
     pub waits: bool,
 }
 
-/// Slots that teams use here and elsewhere.
+/// Slots that teams use at this entry and at its peers.
 ///
-/// Failure: each entry gives a team its share of that entry's slots. A team whose callers come
-/// to few entries then stays far below its share of the fleet while it waits. So each entry
-/// weighs a team by what it lacks over all entries.
+/// If each entry only gave a team its share of that entry's own slots, a team whose callers use
+/// few entries would stay far below its share of the fleet while its requests wait. So each entry
+/// corrects a team's weight by what the team lacks over all entries.
 #[derive(Debug, Default)]
 pub struct Shares {
     own: Map<TeamId, TeamUsage>,
     peers: Map<EntryId, (Time, Vec<(TeamId, TeamUsage)>)>,
-    /// Corrections in force, in 1/1024.
+    /// Current correction factors, in 1/1024.
     ///
-    /// Invariant: only of teams that wait somewhere.
+    /// Invariant: only teams with requests waiting at some entry have one.
     factors: Map<TeamId, u64>,
 }
 
 impl Shares {
-    /// Takes a sample of what a team uses here.
+    /// Adds a sample of the slots that a team uses at this entry.
     pub fn sample(&mut self, team: &TeamId, used: u32, waits: bool) {
         if used == 0 && !waits && !self.own.contains_key(team) {
             return;
@@ -54,18 +54,20 @@
         usage.waits = waits;
     }
 
-    /// What this entry tells its peers.
+    /// The usage at this entry, to be sent to its peers.
     pub fn digest(&self) -> impl Iterator<Item = (&TeamId, TeamUsage)> {
         let used = self.own.iter().map(|(team, usage)| (team, *usage));
         used.filter(|(_, g)| g.slots > 0 || g.waits)
     }
 
-    /// Takes a peer's digest.
+    /// Stores the digest received from a peer, replacing its previous one.
     pub fn record_digest(&mut self, now: Time, entry: EntryId, digest: Vec<(TeamId, TeamUsage)>) {
         self.peers.insert(entry, (now, digest));
     }
 
-    /// Corrections of teams' weights here, in 1/1024, for teams that wait anywhere.
+    /// Recomputes the correction factors of the teams' local weights, in 1/1024.
+    ///
+    /// Only teams with requests waiting at some entry get one.
     pub fn update_factors(
         &mut self,
         now: Time,
@@ -77,14 +79,15 @@
         let waiting = || all.iter().filter(|(_, g)| g.waits);
         let slots: u64 = waiting().map(|(_, g)| u64::from(g.slots)).sum();
         let shares: u64 = waiting().map(|(t, _)| weight(share(t))).sum();
-        // A little of the whole on both sides: a team that has nothing yet gets no more than
-        // the bound, and noise of a few slots moves nothing.
+        // Added to both sides of the ratio: it bounds the ratio of a team that has no slots yet,
+        // and noise of a few slots has no effect.
         let smoothing = slots / (16 * all.len().max(1) as u64) + 1;
         let next = |(team, usage): (&TeamId, &TeamUsage)| {
             let due = slots * weight(share(team)) / shares.max(1);
             let ratio = UNIT_FACTOR * (due + smoothing) / (u64::from(usage.slots) + smoothing);
-            // What is still missing moves the last correction on, by half: a step that leaves
-            // an error is followed by another one, and digests that are late do not swing it.
+            // Each update applies half of the remaining error to the previous factor: an error
+            // that is left is corrected by the next updates, and late digests cause no
+            // oscillation.
             let last = self.factors.get(team).copied().unwrap_or(UNIT_FACTOR);
             let factor = last * (UNIT_FACTOR + ratio.min(4 * UNIT_FACTOR)) / (2 * UNIT_FACTOR);
             (team.clone(), factor.clamp(FACTOR_RANGE.0, FACTOR_RANGE.1))
--- a/crates/admission/src/unit_counter.rs
+++ b/crates/admission/src/unit_counter.rs
@@ -1,36 +1,38 @@
-//! Running work of each team at this entry.
+//! Units of the teams' limits in use at this entry.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use cactuswheel_model::{Map, TeamId, Time};
 
-/// Counts what each team has running here.
+/// Counts the units that each team has in use at this entry; each running request uses one.
 #[derive(Debug, Default)]
 pub struct UnitCounter {
     teams: Map<TeamId, TeamUnits>,
-    /// Units of requests whose end is unknown, by the time at which they surely have ended.
+    /// Units of requests whose end was not observed, by the time at which the request has
+    /// certainly ended.
     ///
-    /// Invariant: each is counted in `teams` too.
+    /// Invariant: each of these units is also counted in `teams`.
     unresolved: BinaryHeap<Reverse<(Time, TeamId)>>,
-    /// Units in use over all teams.
+    /// Units in use by all teams together.
     total: u32,
 }
 
 #[derive(Debug, Default)]
 struct TeamUnits {
     used: u32,
-    /// Most that were or could have been in use at once, in this window and the one before.
+    /// Peak concurrent demand in units, rejected requests included: in the current window and in
+    /// the previous one.
     peaks: [u32; 2],
-    /// Turned away at the cap since the last look.
+    /// Requests rejected at the cap since the last call of `demand`.
     rejected: u32,
 }
 
-/// Growth of a team's demand that one look can show, beside doubling.
+/// Units by which one call of `demand` may raise a team's demand beyond doubling it.
 const EXTRA_GROWTH: u32 = 4;
 
 impl UnitCounter {
-    /// Takes a unit for `team` if fewer than `cap` are in use.
+    /// Acquires a unit for `team` if it has fewer than `cap` in use; returns whether it did.
     pub fn acquire(&mut self, team: &TeamId, cap: u32) -> bool {
         let count = match self.teams.get_mut(team) {
             Some(count) => count,
@@ -46,7 +48,7 @@
         true
     }
 
-    /// Gives a unit of `team` back.
+    /// Releases a unit of `team`.
     pub fn release(&mut self, team: &TeamId) {
         if let Some(count) = self.teams.get_mut(team) {
             count.used -= 1;
@@ -54,12 +56,12 @@
         }
     }
 
-    /// Gives a unit of `team` back at `at`, when its request has surely ended.
+    /// Releases a unit of `team` at `at`, when its request has certainly ended.
     pub fn release_at(&mut self, team: &TeamId, at: Time) {
         self.unresolved.push(Reverse((at, team.clone())));
     }
 
-    /// Gives back the units of requests that have surely ended by `now`.
+    /// Releases the units whose `release_at` time has been reached at `now`.
     pub fn expire(&mut self, now: Time) {
         while let Some(Reverse((at, _))) = self.unresolved.peek()
             && *at <= now
@@ -69,20 +71,20 @@
         }
     }
 
-    /// Units of `team` in use here.
+    /// Units of `team` in use at this entry.
     pub fn used(&self, team: &TeamId) -> u32 {
         self.teams.get(team).map_or(0, |c| c.used)
     }
 
-    /// Whether nothing is in use.
+    /// Whether no unit is in use.
     pub fn is_idle(&self) -> bool {
         self.total == 0
     }
 
-    /// Units that the demand of this window and the last could have used.
+    /// Returns the peak demand of `team` in the current and the previous window, in units.
     ///
-    /// Callers that come again and again are counted each time, so what was turned away adds no
-    /// more than doubles the demand at one look.
+    /// Callers that retry are counted each time they are rejected, so one call lets rejected
+    /// requests at most double the units in use, plus `EXTRA_GROWTH`.
     pub fn demand(&mut self, team: &TeamId) -> u32 {
         let Some(count) = self.teams.get_mut(team) else {
             return 0;
@@ -93,7 +95,7 @@
         count.peaks[0].max(count.peaks[1])
     }
 
-    /// Begins a new window of demand.
+    /// Starts a new demand window; the current one becomes the previous one.
     pub fn rotate_window(&mut self) {
         for count in self.teams.values_mut() {
             count.peaks = [count.used, count.peaks[0]];
--- a/crates/admission/tests/limit/main.rs
+++ b/crates/admission/tests/limit/main.rs
@@ -1,4 +1,4 @@
-//! A team's upper limit over the whole fleet.
+//! Tests of a team's limit over the whole fleet.
 
 mod handover;
 mod histories;
--- a/crates/admission/tests/shares.rs
+++ b/crates/admission/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Corrections towards the fleet's shares.
+//! Tests of the correction towards shares of the whole fleet.
 
 use cactuswheel_admission::{Shares, TeamUsage};
 use cactuswheel_model::{EntryId, Share, TeamId, Time};
@@ -25,7 +25,7 @@
 
 #[test]
 fn lifts_the_poor() {
-    // Both teams wait here; elsewhere one of them has nearly everything.
+    // Both teams have requests waiting here; at another entry, one of them has nearly all slots.
     let mut shares = Shares::default();
     shares.sample(&team("poor"), 8, true);
     shares.sample(&team("rich"), 8, true);
@@ -46,7 +46,7 @@
 
 #[test]
 fn idle_team() {
-    // A team that waits nowhere has what it wants; its share goes to those that wait.
+    // A team without waiting requests needs no more slots; its share goes to the teams that wait.
     let mut shares = Shares::default();
     shares.sample(&team("a"), 8, false);
     shares.sample(&team("b"), 8, true);
@@ -59,7 +59,7 @@
 
 #[test]
 fn within_bounds() {
-    // Whatever peers tell, no correction leaves its bounds.
+    // For any digests from peers, correction factors stay within their bounds.
     let property = |told: Vec<(u8, u32, bool)>| {
         let mut shares = Shares::default();
         shares.sample(&team("t0"), 3, true);
--- a/crates/daemon/src/denials.rs
+++ b/crates/daemon/src/denials.rs
@@ -69,9 +69,7 @@
             continue;
         }
         let state = shared.state.load_full();
-        shared.change_denials(|known| {
-            known.remove_recorded(|digest| state.denials().contains(digest))
-        });
+        shared.change_denials(|known| known.prune(|digest| state.denials().contains(digest)));
         let mut due = Vec::new();
         let now = shared.now();
         shared.change_denials(|known| due = known.take_due(now, AGAIN));
--- a/crates/daemon/src/proxy/lines.rs
+++ b/crates/daemon/src/proxy/lines.rs
@@ -186,7 +186,7 @@
         shared.holder().release(&team.id);
         return Ok(None);
     };
-    let paid = queue.charge(&team.id, team.share);
+    let paid = queue.charge_start(&team.id, team.share);
     let permit = Permit::new(shared, &team.id, charge(shared, &job.service.pool, paid));
     let slot = Slot::new(lease, shared.clone());
     Ok(Some(Grant { permit, slot }))
@@ -261,7 +261,7 @@
         let Some((team, waiter)) = queue.pop(|team| shared.enter(team).is_ok()) else {
             return;
         };
-        let paid = queue.charge(&team, waiter.share);
+        let paid = queue.charge_start(&team, waiter.share);
         let permit = Permit::new(shared, &team, charge(shared, pool, paid));
         let slot = Slot::new(lease, shared.clone());
         if let Err(grant) = waiter.grant.send(Grant { permit, slot }) {
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,66 +1,66 @@
-//! The life of one attempt at an upstream.
+//! The state machine of one attempt to send a request to an upstream.
 
 use cactuswheel_model::Ran;
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Attempt {
-    /// No byte of the request was given to a connection.
+    /// No byte of the request has been passed to a connection.
     Connecting,
-    /// A connection has the request; any part of it may be at the upstream.
+    /// A connection has the request; any part of it may have reached the upstream.
     Sent,
-    /// The head of the answer came.
+    /// The head of the response has arrived.
     Answering,
-    /// The whole answer came.
+    /// The complete response has arrived.
     Complete,
-    /// Over, with proof that the request did not run.
-    NotRun,
-    /// Over without a whole answer and without proof.
+    /// Ended, with proof that the request did not run.
+    NeverRan,
+    /// Ended without a complete response and without such proof.
     Failed,
 }
 
-/// What happens to an attempt.
+/// An event that changes the state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// No connection could be had.
+    /// No connection could be obtained.
     NoConnection,
-    /// A connection took the request.
+    /// The request was passed to a connection.
     Sent,
-    /// The connection gave the request back unsent.
+    /// The connection returned the request unsent.
     ReturnedUnsent,
-    /// The upstream answered that it did not run the request.
+    /// The upstream responded that it did not run the request.
     Declined,
-    /// The head of an ordinary answer came.
+    /// The head of an ordinary response arrived.
     ResponseHead,
-    /// The last byte of the answer came.
+    /// The last byte of the response arrived.
     ResponseEnd,
-    /// The connection broke, or the time ran out.
+    /// The connection broke, or the attempt timed out.
     Interrupted,
 }
 
 impl Attempt {
-    /// The attempt after `event`; one that is over stays as it is.
+    /// Returns the state after `event`; an attempt that has ended keeps its state.
     ///
-    /// Only three events prove that nothing ran, and only before the head of an answer: no
-    /// connection, the request given back, the upstream's own word. Taking a broken connection
-    /// for such a proof would run a request twice, since the upstream may have read it all
-    /// before the connection broke.
+    /// Only three events prove that the request did not run, and only before the head of a
+    /// response: no connection, the request returned unsent, and a decline by the upstream. Treating
+    /// a broken connection as such a proof could run a request twice, since the upstream may have
+    /// read all of it before the connection broke.
     pub fn step(self, event: Event) -> Self {
         match (self, event) {
-            (Self::Connecting, Event::NoConnection) => Self::NotRun,
+            (Self::Connecting, Event::NoConnection) => Self::NeverRan,
             (Self::Connecting, Event::Sent) => Self::Sent,
-            (Self::Sent, Event::ReturnedUnsent | Event::Declined) => Self::NotRun,
+            (Self::Sent, Event::ReturnedUnsent | Event::Declined) => Self::NeverRan,
             (Self::Sent, Event::ResponseHead) => Self::Answering,
             (Self::Answering, Event::ResponseEnd) => Self::Complete,
-            (Self::Complete | Self::NotRun | Self::Failed, _) => self,
+            (Self::Complete | Self::NeverRan | Self::Failed, _) => self,
             (Self::Connecting | Self::Sent | Self::Answering, _) => Self::Failed,
         }
     }
 
-    /// What is known of the request's execution now.
+    /// What is known in this state about whether the request ran.
     pub fn ran(self) -> Ran {
         match self {
-            Self::Connecting | Self::NotRun => Ran::NotRun,
+            Self::Connecting | Self::NeverRan => Ran::NotRun,
             Self::Complete => Ran::Ran,
             Self::Sent | Self::Answering | Self::Failed => Ran::Unknown,
         }
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,44 +1,44 @@
-//! How many retries there may be.
+//! The retry budget of a pool.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A token bucket that requests fill and retries empty.
+/// A token bucket that requests fill and retries drain.
 ///
-/// Without it every request would be tried several times when a whole pool fails, which
-/// multiplies the load just when the pool comes back. With it the retries are at most a fixed
-/// part of the requests plus one bucket.
+/// Without it, every request would be sent several times while a whole pool fails, which
+/// multiplies the load just when the pool recovers. With it, the number of retries is at most a
+/// fixed fraction of the number of requests plus one full bucket.
 #[derive(Debug)]
 pub struct RetryBudget {
-    /// Hundredths of a retry.
+    /// Available tokens, in hundredths of a retry.
     ///
     /// Invariant: at most [`Self::MAX_TOKENS`].
     tokens: AtomicU32,
 }
 
 impl RetryBudget {
-    /// A retry, in tokens.
+    /// Tokens that one retry costs.
     const RETRY_COST: u32 = 100;
 
-    /// What one request adds: a fifth of a retry.
+    /// Tokens that one request adds: a fifth of a retry.
     const REQUEST_CREDIT: u32 = 20;
 
-    /// Most tokens kept: fifty retries.
+    /// Capacity of the bucket: fifty retries.
     const MAX_TOKENS: u32 = 50 * Self::RETRY_COST;
 
-    /// Counts a request.
+    /// Adds the tokens of one request.
     pub fn deposit(&self) {
         let tokens = self.tokens.load(Ordering::Relaxed);
         if tokens == Self::MAX_TOKENS {
             return;
         }
         let add = |n: u32| Some((n + Self::REQUEST_CREDIT).min(Self::MAX_TOKENS));
-        // `add` always gives a value, so this cannot fail.
+        // `add` always returns a value, so the update cannot fail.
         let _ = self
             .tokens
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
     }
 
-    /// Takes a retry out if there is one.
+    /// Takes the tokens of one retry; returns false if there are too few.
     pub fn withdraw(&self) -> bool {
         let subtract = |n: u32| n.checked_sub(Self::RETRY_COST);
         self.tokens
--- a/crates/routing/src/exchange.rs
+++ b/crates/routing/src/exchange.rs
@@ -1,31 +1,31 @@
-//! A caller's request over all its attempts.
+//! A caller's request across all its attempts.
 
 use cactuswheel_model::{Ran, Time};
 
 use crate::RetryBudget;
 
-/// Most attempts at one request.
+/// Maximum number of attempts per request.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// Decides after each failed attempt whether there is another.
+/// Decides after each failed attempt whether to retry the request.
 #[derive(Debug, Clone)]
 pub struct Exchange {
-    /// Whether running the request twice does no harm.
+    /// Whether the request may safely run twice.
     idempotent: bool,
-    /// The caller's deadline.
+    /// Deadline set by the caller.
     deadline: Time,
-    /// Attempts begun.
+    /// Number of attempts started.
     attempts: u32,
     /// Whether an attempt may have run the request.
     ///
-    /// Invariant: never goes back to false. A second attempt that proves not to have run says
-    /// nothing of the first; forgetting the first would tell the caller "not run" of a request
-    /// that ran.
+    /// Invariant: never reset to false. Proof that a second attempt did not run says nothing about
+    /// the first one; if the first were forgotten, the caller could be told "not run" about a
+    /// request that ran.
     may_have_run: bool,
 }
 
 impl Exchange {
-    /// A request before its first attempt.
+    /// Creates the state of a request before its first attempt.
     pub fn new(idempotent: bool, deadline: Time) -> Self {
         Self {
             idempotent,
@@ -35,15 +35,16 @@
         }
     }
 
-    /// Counts an attempt that begins.
+    /// Counts an attempt that is being started.
     pub fn start_attempt(&mut self) {
         self.attempts += 1;
     }
 
-    /// Notes an attempt that failed before any of its answer went out; whether there may be
-    /// another.
+    /// Records an attempt that failed before any of its response was sent to the caller; returns
+    /// whether to retry.
     ///
-    /// `whole` tells whether the whole request can still be sent.
+    /// `ran` is the outcome of the attempt; `whole` is whether the whole request can still be sent
+    /// again.
     pub fn retry_after_failure(
         &mut self,
         ran: Ran,
@@ -57,16 +58,15 @@
         safe && whole && in_time && budget.withdraw()
     }
 
-    /// Notes an attempt that the upstream declined since it was full; whether there may be
-    /// another.
+    /// Returns whether to retry after the upstream declined an attempt because it was full.
     ///
-    /// It costs the upstream next to nothing and is no failure, so no budget bounds it but the
-    /// number of attempts.
+    /// A declined attempt costs the upstream almost nothing and is not a failure, so it is limited
+    /// by the number of attempts only, not by the retry budget.
     pub fn retry_after_decline(&mut self, whole: bool, now: Time) -> bool {
         whole && !self.may_have_run && now < self.deadline && self.attempts < MAX_ATTEMPTS
     }
 
-    /// Whether the request ran, if its last attempt says `last`.
+    /// Whether the request ran in any attempt, given the outcome `last` of its last attempt.
     pub fn ran(&self, last: Ran) -> Ran {
         match (self.may_have_run, last) {
             (true, Ran::NotRun) => Ran::Unknown,
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,53 +1,55 @@
-//! Health of an upstream, judged by what became of requests.
+//! Passive health checking: the health of an upstream, judged by the outcomes of requests.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
 use cactuswheel_model::Time;
 
-/// Whether an upstream may be chosen.
+/// Whether an upstream may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthState {
-    /// Like any other.
+    /// It may be selected without restriction.
     Healthy,
-    /// For one request at a time, until one succeeds.
+    /// Its ejection has expired: it gets one request at a time until one succeeds.
     Probing,
-    /// Not at all.
+    /// It must not be selected.
     Ejected,
 }
 
 /// Consecutive failures and recent latency of an upstream.
 ///
-/// The parts are read and written one by one: a race between two outcomes misjudges one of
-/// them, and the next outcome mends that.
+/// The fields are read and written separately: a race between two outcomes may misjudge one of
+/// them, which the next outcome corrects.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     failures: AtomicU32,
-    /// Ejections since the last success.
+    /// Number of ejections since the last success.
     ejections: AtomicU32,
-    /// End of the ejection as a [`Time`]; 0 if there is none.
+    /// End of the current or last ejection as a [`Time`]; 0 if there was none since the last
+    /// success.
     ejected_until: AtomicU64,
-    /// Smoothed time to the head of an answer, in microseconds; 0 before the first.
+    /// Moving average of the time to the head of a response, in microseconds; 0 before the first
+    /// response.
     mean_latency: AtomicU32,
-    /// When `mean` was last fed, as a [`Time`].
+    /// When `mean_latency` was last updated, as a [`Time`].
     updated_at: AtomicU64,
 }
 
 impl Health {
-    /// Failures in a row that eject.
+    /// Number of consecutive failures that lead to an ejection.
     pub(crate) const FAILURE_THRESHOLD: u32 = 3;
 
-    /// The first ejection.
+    /// Duration of the first ejection.
     pub(crate) const BASE_EJECTION: Duration = Duration::from_secs(1);
 
-    /// Doublings of the ejection at most: 32 s.
+    /// Maximum number of times that the ejection is doubled: up to 32 s.
     const MAX_DOUBLINGS: u32 = 5;
 
-    /// Time in which an old latency counts half.
+    /// Time without responses after which the measured latency counts half.
     const LATENCY_HALF_LIFE: Duration = Duration::from_secs(2);
 
-    /// Whether the upstream may be chosen at `now`.
+    /// The state of the upstream at `now`.
     pub(crate) fn state(&self, now: Time) -> HealthState {
         let until = self.ejected_until.load(Ordering::Relaxed);
         if until == 0 {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Notes an answer whose head came after `took`.
+    /// Records a response whose head arrived after `took`.
     pub(crate) fn record_success(&self, took: Duration, now: Time) {
         if self.failures.load(Ordering::Relaxed) != 0 {
             self.failures.store(0, Ordering::Relaxed);
@@ -80,9 +82,9 @@
         self.updated_at.store(now.get(), Ordering::Relaxed);
     }
 
-    /// Notes a failure; whether the upstream ought to be ejected.
+    /// Records a failure; returns whether the upstream should be ejected.
     ///
-    /// Failures of requests sent before an ejection do not count again.
+    /// Failures during an ejection come from requests sent before it, and do not count.
     pub(crate) fn record_failure(&self, now: Time) -> bool {
         match self.state(now) {
             HealthState::Ejected => false,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Ejects until a time that grows with every ejection in a row.
+    /// Ejects the upstream; the duration doubles with each consecutive ejection.
     pub(crate) fn eject(&self, now: Time) {
         let ejections = self.ejections.fetch_add(1, Ordering::Relaxed);
         let pause = Self::BASE_EJECTION * (1 << ejections.min(Self::MAX_DOUBLINGS));
@@ -101,8 +103,8 @@
             .store(now.after(pause).get(), Ordering::Relaxed);
     }
 
-    /// Recent latency in microseconds, at least 1; it fades, so that a slow upstream is tried
-    /// again.
+    /// Recent latency in microseconds, at least 1. It decays over time, so that a slow upstream is
+    /// tried again.
     pub(crate) fn latency(&self, now: Time) -> u64 {
         let mean = self.mean_latency.load(Ordering::Relaxed);
         let idle = now.since(Time::new(self.updated_at.load(Ordering::Relaxed)));
--- a/crates/routing/src/lease.rs
+++ b/crates/routing/src/lease.rs
@@ -7,7 +7,7 @@
 use crate::pool::Pool;
 use crate::{Outcome, RetryBudget, Upstream};
 
-/// Holds one slot; dropping it gives the slot back.
+/// Holds one slot of an upstream; dropping it releases the slot.
 #[derive(Debug)]
 pub struct Lease<C> {
     upstream: Arc<Upstream<C>>,
@@ -15,7 +15,7 @@
 }
 
 impl<C> Lease<C> {
-    /// Takes a slot of `upstream` if one is free.
+    /// Acquires a slot of `upstream` if one is free.
     pub(crate) fn try_acquire(
         upstream: &Arc<Upstream<C>>,
         pool: &Arc<Pool<C>>,
@@ -27,22 +27,22 @@
         })
     }
 
-    /// The upstream.
+    /// The upstream that the slot belongs to.
     pub fn upstream(&self) -> &Arc<Upstream<C>> {
         &self.upstream
     }
 
-    /// The upstream's pool.
+    /// The pool that the upstream belongs to.
     pub fn pool(&self) -> &PoolId {
         &self.pool.id
     }
 
-    /// The pool's retries.
+    /// The retry budget of the pool.
     pub fn budget(&self) -> &RetryBudget {
         &self.pool.shared.budget
     }
 
-    /// Notes what became of the request; a failure may eject the upstream.
+    /// Records the outcome of the request; a failure may eject the upstream.
     pub fn record_outcome(&self, outcome: Outcome, now: Time) {
         if self.upstream.record_outcome(outcome, now) {
             self.pool.eject(&self.upstream, now);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which upstream takes a request, and whether a request may be tried again.
+//! Selection of the upstream for a request, health of upstreams, and retry decisions.
 //!
-//! Decides only: the daemon tells it which upstreams there are, what became of an attempt, the
-//! time and a random number, and sends the request itself.
+//! The crate is pure logic: the daemon passes in the known upstreams, the outcomes of attempts,
+//! the time and random numbers, and sends the requests itself.
 
 mod attempt;
 mod budget;
--- a/crates/routing/src/nearness.rs
+++ b/crates/routing/src/nearness.rs
@@ -1,6 +1,6 @@
-//! How far an upstream is.
+//! The distance of an upstream from this entry.
 
-/// Where an upstream is, seen from this entry; nearer ones come first.
+/// The location of an upstream relative to this entry; nearer ones are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Nearness {
     /// In the entry's data centre.
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -8,28 +8,28 @@
 use crate::health::HealthState;
 use crate::{Lease, Nearness, RetryBudget, Upstream};
 
-/// What a pool keeps while its upstreams come and go.
+/// The state of a pool that persists when its upstreams change.
 #[derive(Debug, Default)]
 pub(crate) struct SharedState {
-    /// Retries of requests to the pool.
+    /// The retry budget of requests to the pool.
     pub(crate) budget: RetryBudget,
-    /// Held while an ejection is decided, so that two at once cannot pass the bound.
+    /// Held while an ejection is decided, so that two concurrent ejections cannot exceed the bound.
     ejection_lock: Mutex<()>,
 }
 
-/// Upstreams by how near they are.
+/// The upstreams of a pool, grouped by nearness.
 #[derive(Debug)]
 pub(crate) struct Pool<C> {
     pub(crate) id: PoolId,
-    /// Nearest first.
+    /// Groups of upstreams, nearest first.
     ///
-    /// Invariant: none is empty.
+    /// Invariant: no group is empty.
     tiers: Vec<(Nearness, Vec<Arc<Upstream<C>>>)>,
     pub(crate) shared: Arc<SharedState>,
 }
 
 impl<C> Pool<C> {
-    /// A pool without upstreams.
+    /// Creates a pool without upstreams.
     pub(crate) fn new(id: PoolId, shared: Arc<SharedState>) -> Self {
         Self {
             id,
@@ -51,7 +51,7 @@
         self.tiers.iter().flat_map(|(_, tier)| tier)
     }
 
-    /// Takes a slot in the nearest tier that has one.
+    /// Acquires a slot in the nearest tier that has a free one, from an upstream not in `tried`.
     pub(crate) fn pick(
         self: &Arc<Self>,
         tried: &[Arc<Upstream<C>>],
@@ -63,10 +63,12 @@
         tiers.find_map(|(_, tier)| self.pick_in_tier(tier, untried, now, draw))
     }
 
-    /// The cheaper of two random upstreams; if both are full, the first that is not.
+    /// Acquires a slot at the cheaper of two random upstreams, or at the first other one that has a
+    /// free slot if both are full.
     ///
-    /// Two choices keep the load nearly even without a look at every upstream, and unlike the
-    /// least loaded of all they don't send every entry to the same one.
+    /// Two random choices keep the load nearly even without examining every upstream, and unlike
+    /// picking the least loaded one they do not send the requests of all entries to the same
+    /// upstream.
     fn pick_in_tier(
         self: &Arc<Self>,
         tier: &[Arc<Upstream<C>>],
@@ -87,11 +89,11 @@
             .find_map(|u| Lease::try_acquire(u, self, now))
     }
 
-    /// Whether `upstream` may be ejected.
+    /// Ejects `upstream` unless too many upstreams of the pool are unhealthy.
     ///
-    /// At most half of a pool is out or on trial at once. A failure that all upstreams share
-    /// would otherwise eject the whole pool, and callers would be refused by upstreams that
-    /// nobody asks any more.
+    /// At most half of a pool is ejected or probing at once. Otherwise a failure common to all
+    /// upstreams would eject the whole pool, and callers would be refused without any upstream
+    /// being tried.
     pub(crate) fn eject(&self, upstream: &Upstream<C>, now: Time) {
         let _lock = self
             .shared
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Recent time to the head of an answer, on average over the upstreams.
+    /// Recent time to the head of a response, averaged over the upstreams.
     pub(crate) fn latency(&self, now: Time) -> Duration {
         let (mut sum, mut count) = (0, 0);
         for upstream in self.upstreams() {
@@ -122,13 +124,13 @@
         Duration::from_micros(sum / u64::max(count, 1))
     }
 
-    /// Slots that may be counted on at `now`, taken ones included.
+    /// Slots that this entry may use at `now`, including those in use.
     pub(crate) fn usable(&self, now: Time) -> u32 {
         self.upstreams().map(|u| u.usable(now)).sum()
     }
 }
 
-/// Two indices below `len`, different if there are two.
+/// Returns two indices below `len`, which differ if `len` is at least two.
 fn two_indices(len: usize, draw: u64) -> [usize; 2] {
     let scale = |r: u64, len: usize| ((r * len as u64) >> 32) as usize;
     let one = scale(draw >> 32, len);
--- a/crates/routing/src/presence.rs
+++ b/crates/routing/src/presence.rs
@@ -1,4 +1,4 @@
-//! Which instances are there, and which of them leave.
+//! The known instances, and which of them are leaving.
 
 use std::net::SocketAddr;
 
@@ -7,28 +7,29 @@
 /// One life of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Life {
-    /// Which of its lives.
+    /// Identifies this life among those of the instance.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Whether it gets no new work.
+    /// Whether the instance is leaving and gets no new work.
     ///
-    /// Invariant: once true it stays so for this incarnation. The roster lags and may list a
-    /// leaving instance as live again; taking that back would send it work that its end cuts.
+    /// Invariant: once true, it stays true for this incarnation. The roster lags and may list a
+    /// leaving instance as live again; resetting the flag would send it requests that are cut off
+    /// when it stops.
     pub leaving: bool,
 }
 
 /// The newest life known of every instance.
 ///
-/// An instance that the roster no longer lists is kept as it was: a list cut short, or none at
-/// all, must not take upstreams away that serve.
+/// An instance that the roster no longer lists is kept unchanged: a truncated or empty roster must
+/// not remove upstreams that are serving.
 #[derive(Debug, Default)]
 pub struct Presences {
     lives: Map<InstanceId, Life>,
 }
 
 impl Presences {
-    /// Takes what the roster lists; whether anything changed.
+    /// Updates an instance from the roster; returns whether anything changed.
     pub fn update(&mut self, id: &InstanceId, listed: Life) -> bool {
         let Some(life) = self.lives.get_mut(id) else {
             self.lives.insert(id.clone(), listed);
@@ -40,7 +41,7 @@
         changed
     }
 
-    /// Takes an instance's own word that it leaves; whether that is news.
+    /// Records the instance's own announcement that it is leaving; returns whether that was new.
     pub fn mark_leaving(&mut self, id: &InstanceId, incarnation: Incarnation) -> bool {
         match self.lives.get_mut(id) {
             Some(life) if life.incarnation == incarnation => {
@@ -50,12 +51,12 @@
         }
     }
 
-    /// The newest life of an instance.
+    /// The newest known life of an instance.
     pub fn get(&self, id: &InstanceId) -> Option<&Life> {
         self.lives.get(id)
     }
 
-    /// All instances that may get new work.
+    /// All instances that are not leaving.
     pub fn serving(&self) -> impl Iterator<Item = (&InstanceId, &Life)> {
         self.lives.iter().filter(|(_, life)| !life.leaving)
     }
--- a/crates/routing/src/routes.rs
+++ b/crates/routing/src/routes.rs
@@ -9,38 +9,40 @@
 use crate::pool::Pool;
 use crate::{Lease, Nearness, RetryBudget, Upstream};
 
-/// When to come back to a pool without a free slot.
+/// Retry delay sent to callers when a pool has no free slot.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// An instance that may take work: described by operators, not leaving, not drained.
+/// An instance that may take requests: configured by operators, not leaving and not drained.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// The instance.
+    /// The id of the instance.
     pub id: InstanceId,
-    /// Which of its lives.
+    /// The life of the instance.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: Slots,
-    /// This entry's part of the slots, which it counts on in any case.
+    /// This entry's share of the slots, which it may always use.
     pub min_slots: u32,
-    /// Connections that this entry may have open to it.
+    /// Maximum number of connections from this entry.
     pub conns: u32,
-    /// Its pool.
+    /// The pool that it belongs to.
     pub pool: PoolId,
-    /// How far it is.
+    /// Its distance from this entry.
     pub nearness: Nearness,
 }
 
-/// Upstreams by pool; a new value replaces the old one whenever either changes.
+/// The upstreams of each pool; replaced by a new value whenever the candidates change.
 #[derive(Debug)]
 pub struct Routes<C> {
     pools: Map<PoolId, Arc<Pool<C>>>,
 }
 
 impl<C: Default> Routes<C> {
-    /// Routes over `candidates`, which go on with what `old` knows and has running.
+    /// Builds routes to `candidates`.
+    ///
+    /// Unchanged upstreams and pools keep their state and running requests from `old`.
     pub fn new(candidates: impl IntoIterator<Item = Candidate>, old: &Self) -> Self {
         let reusable: Map<_, _> = old
             .upstreams()
@@ -69,8 +71,7 @@
 }
 
 impl<C> Routes<C> {
-    /// Takes a slot at an upstream of `pool` that is not among `tried`; `draw` is any random
-    /// number.
+    /// Acquires a slot at an upstream of `pool` that is not in `tried`; `draw` is a random number.
     pub fn pick(
         &self,
         pool: &PoolId,
@@ -83,18 +84,18 @@
         lease.ok_or_else(|| Refusal::new(Code::NoUpstream).with_retry(RETRY_DELAY))
     }
 
-    /// Slots of `pool` that this entry may count on at `now`, taken ones included.
+    /// Slots of `pool` that this entry may use at `now`, including those in use.
     pub fn usable(&self, pool: &PoolId, now: Time) -> u32 {
         self.pools.get(pool).map_or(0, |p| p.usable(now))
     }
 
-    /// Recent time to the head of an answer of `pool`.
+    /// Recent time to the head of a response from `pool`, averaged over its upstreams.
     pub fn latency(&self, pool: &PoolId, now: Time) -> Duration {
         let pool = self.pools.get(pool);
         pool.map_or(Duration::ZERO, |p| p.latency(now))
     }
 
-    /// Retries of requests to `pool`.
+    /// The retry budget of requests to `pool`.
     pub fn budget(&self, pool: &PoolId) -> Option<&RetryBudget> {
         self.pools.get(pool).map(|p| &p.shared.budget)
     }
--- a/crates/routing/src/share.rs
+++ b/crates/routing/src/share.rs
@@ -1,9 +1,9 @@
-//! An entry's part of what all entries share.
+//! An entry's share of a resource that all entries use.
 
-/// The part of `total` for one of `entries`, at least one.
+/// Returns the share of `total` units for one of `entries` entries, at least one unit.
 ///
-/// Rounded down, so that all parts together fit; only where there are more entries than units
-/// does each still get one, since an entry without any could not serve.
+/// The share is rounded down, so that all shares together do not exceed `total`. The exception is
+/// more entries than units: each entry still gets one, since it could not serve without any.
 pub fn even_share(total: u32, entries: u32) -> u32 {
     (total / entries.max(1)).max(1)
 }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One life of one upstream, as this entry uses it.
+//! One life of one upstream, as seen by this entry.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -10,52 +10,53 @@
 use crate::health::{Health, HealthState};
 use crate::window::Window;
 
-/// Latency in microseconds below which upstreams are much alike.
+/// Added to the latency of each upstream, in microseconds, so that smaller differences between
+/// upstreams hardly matter.
 ///
-/// Without it the one that is faster by microseconds would get all work of a quiet hour, and
-/// the others' latency would never be measured again.
+/// Without it, an upstream that is faster by microseconds would get all requests at low load, and
+/// the latency of the others would never be measured again.
 const LATENCY_FLOOR: u64 = 2_000;
 
-/// What became of an attempt, as far as the upstream's health goes.
+/// The outcome of an attempt, as it concerns the health of the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The head of an answer came after this time.
+    /// The head of a response arrived after this time.
     Answered(Duration),
     /// The upstream was full.
     Full,
-    /// No connection, a broken one, or an answer that tells of a failure of the upstream.
+    /// No connection, a broken connection, or a response that reports a failure of the upstream.
     Failed,
 }
 
-/// An upstream and what this entry has running on it.
+/// An upstream and the requests that this entry runs on it.
 ///
-/// `C` is what the driver keeps for the same life: its connections.
+/// `C` is the state that the daemon keeps for the same life: its connections.
 #[derive(Debug)]
 pub struct Upstream<C> {
-    /// Its instance.
+    /// The id of its instance.
     pub id: InstanceId,
-    /// Which life of the instance.
+    /// The life of the instance.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
-    /// Requests that it runs at once, for all entries together.
+    /// Number of requests that it runs concurrently, from all entries together.
     pub slots: Slots,
-    /// Connections that this entry may have open to it.
+    /// Maximum number of connections from this entry.
     pub conns: u32,
-    /// The driver's part.
+    /// State owned by the daemon.
     pub link: C,
     pub(crate) health: Health,
     window: Window,
-    /// Requests from this entry.
+    /// Number of running requests from this entry.
     ///
-    /// Invariant: at most `slots` and `conns`; counted by [`crate::Lease`]s only.
+    /// Invariant: at most `slots` and `conns`; changed only by [`crate::Lease`]s.
     running: AtomicU32,
-    /// Invariant: never goes back to false; the next life is another upstream.
+    /// Invariant: never reset to false; the next life is another upstream.
     leaving: AtomicBool,
 }
 
 impl<C: Default> Upstream<C> {
-    /// An upstream with nothing running.
+    /// Creates an upstream without running requests.
     pub fn new(candidate: Candidate) -> Self {
         let max_slots = candidate.slots.get().min(candidate.conns);
         Self {
@@ -74,17 +75,17 @@
 }
 
 impl<C> Upstream<C> {
-    /// Requests from this entry.
+    /// Number of running requests from this entry.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Notes the upstream's own word that it leaves; whether that is news.
+    /// Records the upstream's own announcement that it is leaving; returns whether that was new.
     pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::AcqRel)
     }
 
-    /// Slots that may be counted on at `now`, taken ones included.
+    /// Slots that this entry may use at `now`, including those in use.
     pub(crate) fn usable(&self, now: Time) -> u32 {
         if self.leaving.load(Ordering::Acquire) {
             return 0;
@@ -96,17 +97,17 @@
         }
     }
 
-    /// Whether it may be chosen at `now`, as far as its health goes.
+    /// The health of the upstream at `now`.
     pub(crate) fn health_state(&self, now: Time) -> HealthState {
         self.health.state(now)
     }
 
-    /// Expected time for one more request, on a scale of its own.
+    /// Relative cost of one more request; comparable only between upstreams.
     pub(crate) fn cost(&self, now: Time) -> u64 {
         (self.health.latency(now) + LATENCY_FLOOR) * u64::from(self.running() + 1)
     }
 
-    /// Notes what became of an attempt; whether the upstream ought to be ejected.
+    /// Records the outcome of an attempt; returns whether the upstream should be ejected.
     pub(crate) fn record_outcome(&self, outcome: Outcome, now: Time) -> bool {
         match outcome {
             Outcome::Answered(took) => {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Takes a slot if one is free.
+    /// Acquires a slot if one is free; returns whether it did.
     pub(crate) fn try_acquire(&self, now: Time) -> bool {
         let usable = self.usable(now);
         let add_one = |n: u32| (n < usable).then_some(n + 1);
@@ -131,7 +132,7 @@
             .is_ok()
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub(crate) fn release(&self) {
         self.running.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/routing/src/window.rs
+++ b/crates/routing/src/window.rs
@@ -1,30 +1,32 @@
-//! How many of an upstream's slots this entry may count on.
+//! An adaptive limit on the slots of an upstream that this entry uses.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// An estimate that the upstream's own refusals shrink and its answers let grow.
+/// The number of slots that this entry may use; it grows with each response and shrinks when the
+/// upstream declines a request because it is full.
 ///
-/// All entries share an upstream's slots and none sees what the others have running there. The
-/// entry's own part is always used; what goes beyond it is learned.
+/// All entries share an upstream's slots, and no entry sees the requests of the others there. An
+/// entry may always use its own share of the slots; beyond that, the window adapts.
 #[derive(Debug)]
 pub(crate) struct Window {
-    /// In parts of a slot, see [`Self::STEPS_PER_SLOT`].
+    /// Size of the window, in units of 1/[`Self::STEPS_PER_SLOT`] slot.
     ///
     /// Invariant: from `min_slots` to `max_slots` slots.
     steps: AtomicU32,
-    /// This entry's own part, in slots.
+    /// This entry's own share, in slots.
     min_slots: u32,
-    /// All that it may use, in slots.
+    /// Maximum number of slots that this entry may use.
     max_slots: u32,
 }
 
 impl Window {
-    /// Parts of a slot: that many answers let the estimate grow by one slot.
+    /// Number of responses that grow the window by one slot.
     const STEPS_PER_SLOT: u32 = 64;
 
-    /// An estimate that begins with twice the entry's own part.
+    /// Creates a window that starts with twice the entry's own share.
     ///
-    /// Begun with all slots, every entry would have most of its first burst refused.
+    /// If all windows started with all slots, the upstream would decline most of the first burst of
+    /// every entry.
     pub(crate) fn new(min_slots: u32, max_slots: u32) -> Self {
         let min_slots = min_slots.min(max_slots);
         let first = (2 * min_slots).min(max_slots);
@@ -35,22 +37,22 @@
         }
     }
 
-    /// The estimate in whole slots.
+    /// Size of the window in whole slots.
     pub(crate) fn get(&self) -> u32 {
         self.steps.load(Ordering::Relaxed) / Self::STEPS_PER_SLOT
     }
 
-    /// Notes an answer.
+    /// Grows the window after a response.
     pub(crate) fn grow(&self) {
         let steps = self.steps.load(Ordering::Relaxed);
         if steps < self.max_slots * Self::STEPS_PER_SLOT {
-            // A lost update costs one part.
+            // An update lost in a race costs one step.
             self.steps.store(steps + 1, Ordering::Relaxed);
         }
     }
 
-    /// Notes that the upstream was full while this entry had `running` requests there, the
-    /// refused one included.
+    /// Shrinks the window after the upstream declined a request while this entry had `running`
+    /// requests there, the declined one included.
     pub(crate) fn shrink(&self, running: u32) {
         let slots = running
             .saturating_sub(1)
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream takes a request.
+//! Tests of the selection of an upstream.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     Routes::new(near.chain(far), &Routes::default())
 }
 
-/// A fixed sequence that is even enough to stand for a random one.
+/// A fixed sequence that is distributed evenly enough to replace a random one.
 fn draw(n: u64) -> u64 {
     n.wrapping_add(1).wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
@@ -42,8 +42,8 @@
 
 #[test]
 fn near_first() {
-    // Work stays in its data centre while that has slots, spills over when it is full, and
-    // ends where no slot is left.
+    // Requests stay in their data centre while it has free slots, spill over when it is full, and
+    // are refused when no slot is left.
     let routes = routes(2, 2);
     let leases: Vec<_> = (0..33).map(|n| pick(&routes, 0, n)).collect();
     let far =
@@ -72,8 +72,8 @@
 
 #[test]
 fn pool_wide_failure() {
-    // Every upstream fails every request for a while. At most half of the pool is out at any
-    // time, so callers' requests still go somewhere; when it comes back, all serve again.
+    // All upstreams fail all requests. At most half of the pool may be ejected at any time, so
+    // that requests still reach upstreams.
     fn property(size: u8, draws: Vec<u64>) -> bool {
         let size = usize::from(size % 20) + 1;
         let routes = routes(size, 0);
@@ -96,8 +96,8 @@
 
 #[test]
 fn failing_one() {
-    // One of four upstreams breaks every connection: after a few failures it gets a request
-    // now and then only, and after it has answered one it serves like the others.
+    // One of four upstreams breaks every connection: after a few failures it only gets an
+    // occasional request, and after its first response it is used like the others.
     let routes = routes(4, 0);
     let mut failures = 0;
     for n in 0..4_000 {
@@ -122,8 +122,8 @@
 
 #[test]
 fn slow_one() {
-    // One of ten upstreams takes fifty times as long. It gets far less than its tenth, but is
-    // tried again.
+    // One of ten upstreams is fifty times slower. It gets far fewer than a tenth of the requests,
+    // but is tried again.
     let routes = routes(10, 0);
     let mut slow = 0;
     for n in 0..5_000 {
@@ -139,8 +139,8 @@
 
 #[test]
 fn full_one() {
-    // Other entries fill an upstream: it refuses, and this entry counts on fewer of its slots,
-    // but never on fewer than its own part, and on more again as answers come.
+    // Other entries fill an upstream and it declines a request: this entry then uses fewer of its
+    // slots, but never fewer than its own share, and more again as responses arrive.
     let routes = routes(1, 0);
     let leases: Vec<_> = (0..8).map_while(|n| pick(&routes, 0, n)).collect();
     assert_eq!(leases.len(), 8);
@@ -157,7 +157,8 @@
 
 #[test]
 fn shares_fit() {
-    // Entries do not see each other's connections: their parts together must fit.
+    // Entries do not see each other's connections, so their shares together must not exceed the
+    // total.
     fn property(total: u16, entries: u8) -> bool {
         let (total, entries) = (u32::from(total), u32::from(entries));
         let part = even_share(total, entries);
@@ -168,8 +169,8 @@
 
 #[test]
 fn new_life() {
-    // A rebooted upstream at the same address is another upstream: nothing of the old one's
-    // failures or running requests is counted against it.
+    // A rebooted upstream at the same address is another upstream: the failures and running
+    // requests of its previous life do not count against it.
     let old = routes(2, 0);
     let lease = pick(&old, 0, 0).unwrap();
     let n = usize::from(lease.upstream().addr.port() - 9000);
--- a/crates/routing/tests/leaving.rs
+++ b/crates/routing/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving instances.
+//! Tests of instances that are leaving.
 
 use cactuswheel_model::{Incarnation, InstanceId};
 use cactuswheel_routing::{Life, Presences};
@@ -18,9 +18,9 @@
 
 #[test]
 fn stays_leaving() {
-    // The roster lags: it lists an instance as leaving, then an old copy lists it as live, and
-    // the instance's own word comes in between. Once any of them said that a life leaves, it
-    // serves no more; only a newer life does.
+    // The roster lags: it lists an instance as leaving, then an outdated copy lists it as live, and
+    // the instance's own announcement arrives in between. Once any of them reports that a life is
+    // leaving, this life must not serve again; only a newer one may.
     fn property(news: Vec<(u8, bool, bool)>) -> bool {
         let mut presences = Presences::default();
         let mut newest = 0;
