--- a/crates/admission/examples/decision_cost.rs
+++ b/crates/admission/examples/decision_cost.rs
@@ -98,12 +98,12 @@
 
 fn queue(teams: &[TeamId]) {
     let mut queue = Queue::default();
-    let room = Concurrency {
+    let concurrency = Concurrency {
         slots: 400,
         units: 100,
     };
     let now = Time::new(1);
-    let place = |n: usize| QueueRequest {
+    let request = |n: usize| QueueRequest {
         team: teams[n % teams.len()].clone(),
         share: Share::new(1),
         urgent: n.is_multiple_of(10),
@@ -113,9 +113,9 @@
         let paid = queue.charge_start(&teams[n % teams.len()], Share::new(1));
         queue.settle_charge(&teams[n % teams.len()], paid, Duration::from_millis(20));
     });
-    (0..teams.len() * 10).for_each(|n| drop(queue.push(now, place(n), room, n)));
+    (0..teams.len() * 10).for_each(|n| drop(queue.push(now, request(n), concurrency, n)));
     measure("push and pop, all teams waiting", ROUNDS, |n| {
-        let _ = black_box(queue.push(now, place(n), room, n));
+        let _ = black_box(queue.push(now, request(n), concurrency, n));
         queue.begin_round(now);
         if let Some((team, _)) = queue.pop(|_| true) {
             queue.charge_start(&team, Share::new(1));
--- a/crates/admission/src/denials.rs
+++ b/crates/admission/src/denials.rs
@@ -34,7 +34,7 @@
         self.by_digest.is_empty()
     }
 
-    /// Adds a denial that this entry appends to the log at `due`, unless the log has it by then.
+    /// Adds a denial that this entry appends to the log at `due`, unless it is recorded by then.
     ///
     /// Returns false if the key is already denied here or the maximum number of denials is
     /// reached.
@@ -62,7 +62,8 @@
         .collect()
     }
 
-    /// Returns at most 32 denials to send to a peer; successive values of `turn` cycle through all.
+    /// Returns up to `MAX_PER_BEAT` denials to send to a peer; successive values of `turn` cycle
+    /// through all of them.
     pub fn batch(&self, turn: usize) -> impl Iterator<Item = &Denial> {
         let parts = self.by_digest.len().div_ceil(MAX_PER_BEAT).max(1);
         let from = (turn % parts) * MAX_PER_BEAT;
--- a/crates/admission/src/holder.rs
+++ b/crates/admission/src/holder.rs
@@ -28,8 +28,8 @@
 ///
 /// Invariant: for each team, the units in use here never exceed those that any node that folds the
 /// log counts as occupied here. Three rules ensure this: work starts only below the cap that was
-/// read from the log; a report names the epoch of the allotment that the entry obeyed; and a life
-/// whose units are freed by others has not started anything for the longest run time.
+/// read from the log; a report names the epoch of the allotment that the entry obeyed; and when
+/// other entries free a life, it has not started any request for the longest run time.
 #[derive(Debug)]
 pub struct Holder {
     life: LifeId,
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -42,9 +42,9 @@
     /// Returns the state after `event`; an attempt that has ended keeps its state.
     ///
     /// Only three events prove that the request did not run, and only before the head of a
-    /// response: no connection, the request returned unsent, and a decline by the upstream. Treating
-    /// a broken connection as such a proof could run a request twice, since the upstream may have
-    /// read all of it before the connection broke.
+    /// response: no connection, the request returned unsent, and a decline by the upstream. If a
+    /// broken connection were taken as such a proof, a request could run twice, since the upstream
+    /// may have read all of it before the connection broke.
     pub fn step(self, event: Event) -> Self {
         match (self, event) {
             (Self::Connecting, Event::NoConnection) => Self::NeverRan,
