--- a/crates/admission/src/flow.rs
+++ b/crates/admission/src/flow.rs
@@ -1,27 +1,28 @@
-//! One team's line in a queue.
+//! The waiting requests of one team in a queue.
 
 use std::collections::VecDeque;
 
 use cactuswheel_model::{Share, Time};
 
-/// Unit of a correction factor.
-pub(crate) const PAR: u32 = 1 << 10;
+/// The correction factor that leaves a weight unchanged.
+pub(crate) const UNIT_FACTOR: u32 = 1 << 10;
 
-/// Fraction bits of virtual time.
-const SCALE: u32 = 16;
+/// Number of fraction bits of virtual time.
+const FRACTION_BITS: u32 = 16;
 
-/// Waiting requests of one team, and how far it has come in virtual time.
+/// The waiting requests of one team and its position in virtual time.
 #[derive(Debug)]
 pub(crate) struct Flow<T> {
-    /// Where its next request starts in virtual time.
-    pub(crate) tag: u64,
-    /// Its weight, corrected by what the fleet gave it elsewhere, in units of `PAR`.
+    /// Virtual start time of the team's next request.
+    pub(crate) start_tag: u64,
+    /// The team's share times `factor`, which corrects for the slots that the team uses at other
+    /// entries; in units of 1/`UNIT_FACTOR`.
     weight: u64,
     factor: u32,
-    /// The round in which it was last passed over.
-    pub(crate) passed: u64,
+    /// The last scheduling round in which the team was skipped.
+    pub(crate) skipped_round: u64,
     pub(crate) urgent: VecDeque<Item<T>>,
-    pub(crate) plain: VecDeque<Item<T>>,
+    pub(crate) normal: VecDeque<Item<T>>,
 }
 
 #[derive(Debug)]
@@ -32,15 +33,15 @@
 }
 
 impl<T> Flow<T> {
-    /// A line that starts at `tag`.
-    pub(crate) fn new(tag: u64) -> Self {
+    /// Creates an empty flow whose next request starts at `start_tag`.
+    pub(crate) fn new(start_tag: u64) -> Self {
         Self {
-            tag,
-            weight: u64::from(PAR),
-            factor: PAR,
-            passed: 0,
+            start_tag,
+            weight: u64::from(UNIT_FACTOR),
+            factor: UNIT_FACTOR,
+            skipped_round: 0,
             urgent: VecDeque::new(),
-            plain: VecDeque::new(),
+            normal: VecDeque::new(),
         }
     }
 
@@ -55,29 +56,29 @@
         self.weight = share.max(1) * u64::from(self.factor);
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(crate) fn len(&self) -> usize {
-        self.urgent.len() + self.plain.len()
+        self.urgent.len() + self.normal.len()
     }
 
     pub(crate) fn weight(&self) -> u64 {
         self.weight
     }
 
-    /// The lowest goes first.
-    pub(crate) fn key(&self) -> (bool, u64) {
-        (self.urgent.is_empty(), self.tag)
+    /// Sort key: the team with the lowest key is served first.
+    pub(crate) fn order_key(&self) -> (bool, u64) {
+        (self.urgent.is_empty(), self.start_tag)
     }
 
-    /// Virtual time that `millis` of a slot cost this team.
+    /// Virtual time that `millis` of slot time cost this team.
     pub(crate) fn cost(&self, millis: u64) -> u64 {
-        (millis << SCALE) * u64::from(PAR) / self.weight
+        (millis << FRACTION_BITS) * u64::from(UNIT_FACTOR) / self.weight
     }
 
-    pub(crate) fn line(&mut self, urgent: bool) -> &mut VecDeque<Item<T>> {
+    pub(crate) fn lane(&mut self, urgent: bool) -> &mut VecDeque<Item<T>> {
         if urgent {
             return &mut self.urgent;
         }
-        &mut self.plain
+        &mut self.normal
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which upstream takes a request, and whether a request may be tried again.
+//! Selection of the upstream for a request, health of upstreams, and retry decisions.
 //!
-//! Decides only: the daemon tells it which upstreams there are, what became of an attempt, the
-//! time and a random number, and sends the request itself.
+//! The crate is pure logic: the daemon passes in the known upstreams, the outcomes of attempts,
+//! the time and random numbers, and sends the requests itself.
 
 mod attempt;
 mod budget;
@@ -18,10 +18,10 @@
 
 pub use attempt::{Attempt, Event};
 pub use budget::RetryBudget;
-pub use exchange::{Exchange, MAX_TRIES};
+pub use exchange::{Exchange, MAX_ATTEMPTS};
 pub use lease::Lease;
 pub use nearness::Nearness;
 pub use presence::{Life, Presences};
 pub use routes::{Candidate, Routes};
-pub use share::share;
+pub use share::even_share;
 pub use upstream::{Outcome, Upstream};
