--- a/crates/assignment/examples/planning.rs
+++ b/crates/assignment/examples/planning.rs
@@ -61,7 +61,7 @@
     row("first fit", &cost, missing, least);
     let (_, cost, missing) = spread_only(&problem);
     row("spread, no buffer", &cost, missing, least);
-    let steps = problem.needs.iter().filter(|n| n.demand > 0).map(|n| {
+    let steps = problem.specs.iter().filter(|n| n.demand > 0).map(|n| {
         let least = least_capacity(n.demand, 8, problem.racks as u64).unwrap_or(0) / 8;
         (least as usize).div_ceil(n.max_down.unwrap_or(1))
     });
@@ -86,8 +86,8 @@
 /// Capacity above demand that the largest failure domain asks for, at least.
 fn least_buffer(problem: &Problem) -> u64 {
     let racks = problem.racks as u64;
-    let needs = problem.needs.iter();
-    needs
+    let specs = problem.specs.iter();
+    specs
         .map(|n| least_capacity(n.demand, 8, racks).unwrap_or(0) - n.demand)
         .sum()
 }
@@ -96,7 +96,7 @@
 fn landed(size: Size, seed: u64, weights: Weights) {
     let mut problem = fleet(size, seed, weights);
     let mut rng = Rng::new(seed);
-    let pools = problem.needs.len() as u64;
+    let pools = problem.specs.len() as u64;
     for machine in &mut problem.machines {
         machine.pool = rng.below(pools) as usize;
     }
@@ -141,12 +141,12 @@
     event("rack lost", &made, took);
 
     let mut more = settled.clone();
-    more.needs[1].demand += more.needs[1].demand / 10;
+    more.specs[1].demand += more.specs[1].demand / 10;
     let (made, took) = timed(&more);
     event("demand + 10 %", &made, took);
 
     let mut less = settled;
-    less.needs[1].demand -= less.needs[1].demand / 10;
+    less.specs[1].demand -= less.specs[1].demand / 10;
     let (made, took) = timed(&less);
     event("demand - 10 %", &made, took);
 }
--- a/crates/assignment/src/baseline.rs
+++ b/crates/assignment/src/baseline.rs
@@ -6,16 +6,21 @@
 /// Takes spare machines in their order until demand fits after the worst loss.
 pub fn first_fit(problem: &Problem) -> (usize, Cost, u64) {
     fill(problem, |draft, pool| {
-        let mut free = draft.free.iter().flatten().copied().collect::<Vec<_>>();
+        let mut free = draft
+            .spare_machines
+            .iter()
+            .flatten()
+            .copied()
+            .collect::<Vec<_>>();
         free.sort_unstable();
-        free.into_iter().find(|n| draft.worth(*n, pool) > 0)
+        free.into_iter().find(|n| draft.usable_slots(*n, pool) > 0)
     })
 }
 
 /// Spreads over racks until demand fits while nothing is lost.
 pub fn spread_only(problem: &Problem) -> (usize, Cost, u64) {
     fill(problem, |draft, pool| {
-        let whole = draft.loads[pool].total >= problem.needs[pool].demand;
+        let whole = draft.capacities[pool].total >= problem.specs[pool].demand;
         if whole { None } else { draft.best_free(pool) }
     })
 }
@@ -26,7 +31,7 @@
     pick: impl Fn(&Draft<'_>, usize) -> Option<usize>,
 ) -> (usize, Cost, u64) {
     let mut draft = Draft::new(problem);
-    for pool in 0..problem.needs.len() {
+    for pool in 0..problem.specs.len() {
         while draft.deficit(pool) > 0 {
             let Some(n) = pick(&draft, pool) else {
                 break;
@@ -34,6 +39,6 @@
             draft.push(n, pool, Reason::Demand);
         }
     }
-    let missing = (0..problem.needs.len()).map(|pool| draft.deficit(pool));
+    let missing = (0..problem.specs.len()).map(|pool| draft.deficit(pool));
     (draft.moves.len(), draft.cost(), missing.sum())
 }
--- a/crates/assignment/src/lib.rs
+++ b/crates/assignment/src/lib.rs
@@ -8,26 +8,26 @@
 
 mod baseline;
 mod bound;
-mod load;
+mod improve;
 mod machine;
-mod need;
 mod plan;
 mod planner;
+mod pool_capacity;
+mod pool_spec;
 mod problem;
 mod repair;
 mod settings;
-mod shorten;
 mod snapshot;
 mod weights;
 
 pub use baseline::{first_fit, spread_only};
 pub use bound::least_capacity;
-pub use load::Load;
 pub use machine::Machine;
-pub use need::Need;
 pub use plan::{Cost, Move, Plan, Reason, Shortage};
 pub use planner::plan;
+pub use pool_capacity::PoolCapacity;
+pub use pool_spec::PoolSpec;
 pub use problem::Problem;
 pub use settings::Settings;
-pub use snapshot::problem_of;
+pub use snapshot::problem_from_state;
 pub use weights::Weights;
--- a/crates/assignment/src/machine.rs
+++ b/crates/assignment/src/machine.rs
@@ -26,12 +26,12 @@
     /// Whether a planned outage or a move holds it: it counts, and is not moved.
     pub pinned: bool,
     /// Expected time until its work has ended, in seconds; a move waits that long.
-    pub drain: u64,
+    pub drain_secs: u64,
 }
 
 impl Machine {
     /// Whether it may be moved, as far as it is known.
-    pub fn is_free(&self) -> bool {
+    pub fn is_movable(&self) -> bool {
         !self.lost && !self.pinned
     }
 }
--- a/crates/assignment/src/plan.rs
+++ b/crates/assignment/src/plan.rs
@@ -37,7 +37,7 @@
     Demand,
     /// It replaces members that are crowded into one rack.
     Spread,
-    /// The pool that it leaves has more than it needs.
+    /// The pool that it leaves has more than it specs.
     Surplus,
 }
 
--- a/crates/assignment/src/planner.rs
+++ b/crates/assignment/src/planner.rs
@@ -1,12 +1,12 @@
 //! Planning: repair, then improve.
 
-use crate::{Cost, Load, Machine, Move, Plan, Problem, Reason, Shortage};
+use crate::{Cost, Machine, Move, Plan, PoolCapacity, Problem, Reason, Shortage};
 
 /// Plans at most [`Problem::max_moves`] moves from the state as it stands.
 pub fn plan(problem: &Problem) -> Plan {
     let mut draft = Draft::new(problem);
     draft.repair();
-    draft.shorten();
+    draft.improve();
     // What pools gave back may be what others lack.
     draft.repair();
     draft.finish()
@@ -16,59 +16,59 @@
 pub(crate) struct Draft<'a> {
     pub(crate) problem: &'a Problem,
     pub(crate) machines: Vec<Machine>,
-    pub(crate) loads: Vec<Load>,
+    pub(crate) capacities: Vec<PoolCapacity>,
     /// Machines in spare pools that may go elsewhere, by rack.
-    pub(crate) free: Vec<Vec<usize>>,
+    pub(crate) spare_machines: Vec<Vec<usize>>,
     /// Moves of each machine so far: one, or a second out of the spare pool.
-    pub(crate) moved: Vec<u8>,
+    pub(crate) move_counts: Vec<u8>,
     pub(crate) moves: Vec<(usize, usize, usize, Reason)>,
-    /// The pool that takes what others do not need.
+    /// The pool that takes what others do not spec.
     pub(crate) spare: Option<usize>,
 }
 
 impl<'a> Draft<'a> {
     pub(crate) fn new(problem: &'a Problem) -> Self {
-        let mut free = vec![Vec::new(); problem.racks];
+        let mut spare_machines = vec![Vec::new(); problem.racks];
         for (n, machine) in problem.machines.iter().enumerate() {
-            if problem.needs[machine.pool].spare && machine.is_free() {
-                free[machine.rack].push(n);
+            if problem.specs[machine.pool].spare && machine.is_movable() {
+                spare_machines[machine.rack].push(n);
             }
         }
         Self {
             problem,
             machines: problem.machines.clone(),
-            loads: problem.loads(),
-            free,
-            moved: vec![0; problem.machines.len()],
+            capacities: problem.capacities(),
+            spare_machines,
+            move_counts: vec![0; problem.machines.len()],
             moves: Vec::new(),
-            spare: problem.needs.iter().position(|n| n.spare),
+            spare: problem.specs.iter().position(|n| n.spare),
         }
     }
 
     /// Whether one more move fits into the plan.
-    pub(crate) fn has_room(&self) -> bool {
+    pub(crate) fn can_add_move(&self) -> bool {
         self.moves.len() < self.problem.max_moves
     }
 
-    pub(crate) fn worth(&self, n: usize, pool: usize) -> u64 {
-        self.problem.needs[pool].worth(&self.machines[n])
+    pub(crate) fn usable_slots(&self, n: usize, pool: usize) -> u64 {
+        self.problem.specs[pool].usable_slots(&self.machines[n])
     }
 
     /// Whether a machine may leave its pool now.
     pub(crate) fn can_leave(&mut self, n: usize) -> bool {
         let machine = &self.machines[n];
-        if !machine.is_free() || self.moved[n] > 0 {
+        if !machine.is_movable() || self.move_counts[n] > 0 {
             return false;
         }
-        let need = &self.problem.needs[machine.pool];
-        self.loads[machine.pool].can_lose(machine, need)
+        let spec = &self.problem.specs[machine.pool];
+        self.capacities[machine.pool].can_remove(machine, spec)
     }
 
     /// Whether a machine may join a pool now, as far as its moves so far go.
     ///
     /// One that a pool gave back in this plan may go on into another.
     pub(crate) fn may_join(&self, n: usize, pool: usize) -> bool {
-        match self.moved[n] {
+        match self.move_counts[n] {
             0 => true,
             1 => Some(self.machines[n].pool) == self.spare && self.problem.machines[n].pool != pool,
             _ => false,
@@ -78,38 +78,38 @@
     /// Appends a move; the caller has seen that it keeps the hard rules.
     pub(crate) fn push(&mut self, n: usize, to: usize, reason: Reason) {
         let from = self.machines[n].pool;
-        self.shift(n, to);
-        self.moved[n] += 1;
+        self.reassign(n, to);
+        self.move_counts[n] += 1;
         self.moves.push((n, from, to, reason));
     }
 
     /// Takes the newest moves back until `len` are left.
-    pub(crate) fn rewind(&mut self, len: usize) {
+    pub(crate) fn undo_to(&mut self, len: usize) {
         while self.moves.len() > len {
             if let Some((n, from, ..)) = self.moves.pop() {
-                self.shift(n, from);
-                self.moved[n] -= 1;
+                self.reassign(n, from);
+                self.move_counts[n] -= 1;
             }
         }
     }
 
-    fn shift(&mut self, n: usize, to: usize) {
+    fn reassign(&mut self, n: usize, to: usize) {
         let from = self.machines[n].pool;
-        let (left, joined) = (self.worth(n, from), self.worth(n, to));
+        let (left, joined) = (self.usable_slots(n, from), self.usable_slots(n, to));
         let rack = self.machines[n].rack;
-        self.loads[from].remove(&self.machines[n], left);
-        self.loads[to].add(&self.machines[n], joined);
-        if self.problem.needs[from].spare {
-            self.free[rack].retain(|m| *m != n);
+        self.capacities[from].remove(&self.machines[n], left);
+        self.capacities[to].add(&self.machines[n], joined);
+        if self.problem.specs[from].spare {
+            self.spare_machines[rack].retain(|m| *m != n);
         }
-        if self.problem.needs[to].spare {
-            self.free[rack].push(n);
+        if self.problem.specs[to].spare {
+            self.spare_machines[rack].push(n);
         }
         self.machines[n].pool = to;
     }
 
     /// The state's cost by the weights, over the pools given.
-    pub(crate) fn weigh(&self) -> f64 {
+    pub(crate) fn weighted_cost(&self) -> f64 {
         let weights = &self.problem.weights;
         let cost = self.cost();
         weights.moves * (cost.moves as f64 + cost.wait)
@@ -125,25 +125,25 @@
         for (n, from, ..) in &self.moves {
             if self.problem.machines[*n].pool == *from {
                 cost.moves += 1;
-                wait += self.machines[*n].drain;
+                wait += self.machines[*n].drain_secs;
             }
         }
         cost.wait = wait as f64 / 3_600.0;
-        for (load, need) in self.loads.iter().zip(&self.problem.needs) {
-            if need.demand == 0 {
+        for (capacity, spec) in self.capacities.iter().zip(&self.problem.specs) {
+            if spec.demand == 0 {
                 continue;
             }
-            cost.buffer += load.total.saturating_sub(need.demand);
-            let steps = load.members.div_ceil(need.max_down.unwrap_or(1).max(1));
+            cost.buffer += capacity.total.saturating_sub(spec.demand);
+            let steps = capacity.members.div_ceil(spec.max_down.unwrap_or(1).max(1));
             cost.rollout = cost.rollout.max(steps);
-            cost.crowding += load.crowding();
+            cost.crowding += capacity.crowding();
         }
         cost
     }
 
     fn finish(self) -> Plan {
         let cost = self.cost();
-        let name = |pool: usize| self.problem.needs[pool].id.clone();
+        let name = |pool: usize| self.problem.specs[pool].id.clone();
         // Of two moves of a machine the second stands, from its first pool. Until then that
         // pool keeps a machine more than was planned, which breaks no rule.
         let last = self.moves.iter().filter(|m| self.machines[m.0].pool == m.2);
@@ -155,15 +155,15 @@
                 reason: *reason,
             })
         });
-        let pools = self.loads.iter().zip(&self.problem.needs);
-        let missing = pools.filter_map(|(load, need)| {
-            let missing = load.deficit(need);
+        let pools = self.capacities.iter().zip(&self.problem.specs);
+        let missing = pools.filter_map(|(capacity, spec)| {
+            let missing = capacity.deficit(spec);
             (missing > 0).then_some(Shortage {
-                pool: need.id.clone()?,
-                demand: need.demand,
-                safe: load.safe(need),
+                pool: spec.id.clone()?,
+                demand: spec.demand,
+                safe: capacity.surviving(spec),
                 missing,
-                more: !self.has_room(),
+                more: !self.can_add_move(),
             })
         });
         Plan {
--- a/crates/assignment/src/need.rs
+++ b/crates/assignment/src/pool_spec.rs
@@ -1,4 +1,4 @@
-//! What pools need.
+//! What pools spec.
 
 use cactuswheel_model::PoolId;
 
@@ -6,12 +6,12 @@
 
 /// A pool and what its services ask for.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Need {
+pub struct PoolSpec {
     /// The pool; `None` only in a default value.
     pub id: Option<PoolId>,
     /// Slots of work at peak, over all its services; 0 for a spare pool.
     pub demand: u64,
-    /// Most members that may be unavailable at once; `None` if no service needs the pool.
+    /// Most members that may be unavailable at once; `None` if no service specs the pool.
     pub max_down: Option<usize>,
     /// Whether its members may be given to other pools, and surplus goes there.
     pub spare: bool,
@@ -25,9 +25,9 @@
     pub accels: u64,
 }
 
-impl Need {
+impl PoolSpec {
     /// What a machine is worth to the pool, in slots; 0 if it lacks something.
-    pub fn worth(&self, machine: &Machine) -> u64 {
+    pub fn usable_slots(&self, machine: &Machine) -> u64 {
         let fits = machine.cores >= self.cores
             && machine.memory >= self.memory
             && machine.accels >= self.accels;
--- a/crates/assignment/src/problem.rs
+++ b/crates/assignment/src/problem.rs
@@ -1,6 +1,6 @@
 //! What there is to be planned.
 
-use crate::{Load, Machine, Need, Weights};
+use crate::{Machine, PoolCapacity, PoolSpec, Weights};
 
 /// Instances, pools and what counts how much.
 #[derive(Debug, Clone, Default)]
@@ -8,7 +8,7 @@
     /// Instances in a fixed order, which settles ties.
     pub machines: Vec<Machine>,
     /// Pools; [`Machine::pool`] is an index here.
-    pub needs: Vec<Need>,
+    pub specs: Vec<PoolSpec>,
     /// Number of racks.
     pub racks: usize,
     /// Number of data centres.
@@ -20,17 +20,17 @@
 }
 
 impl Problem {
-    /// The load of every pool as it stands.
-    pub fn loads(&self) -> Vec<Load> {
-        let mut loads: Vec<_> = self
-            .needs
+    /// The capacity of every pool as it stands.
+    pub fn capacities(&self) -> Vec<PoolCapacity> {
+        let mut capacities: Vec<_> = self
+            .specs
             .iter()
-            .map(|_| Load::new(self.racks, self.dcs))
+            .map(|_| PoolCapacity::new(self.racks, self.dcs))
             .collect();
         for machine in self.machines.iter().filter(|m| !m.lost) {
-            let worth = self.needs[machine.pool].worth(machine);
-            loads[machine.pool].add(machine, worth);
+            let slots = self.specs[machine.pool].usable_slots(machine);
+            capacities[machine.pool].add(machine, slots);
         }
-        loads
+        capacities
     }
 }
--- a/crates/assignment/src/repair.rs
+++ b/crates/assignment/src/repair.rs
@@ -18,12 +18,12 @@
 impl Draft<'_> {
     /// Gives machines to pools whose demand does not fit, the largest demand first.
     ///
-    /// A large pool needs the most racks, and racks are free at the beginning.
+    /// A large pool specs the most racks, and racks are free at the beginning.
     pub(crate) fn repair(&mut self) {
-        let mut short: Vec<usize> = (0..self.loads.len())
+        let mut short: Vec<usize> = (0..self.capacities.len())
             .filter(|pool| self.deficit(*pool) > 0)
             .collect();
-        short.sort_by_key(|pool| Reverse(self.problem.needs[*pool].demand));
+        short.sort_by_key(|pool| Reverse(self.problem.specs[*pool].demand));
         for pool in short {
             self.fill(pool);
         }
@@ -36,10 +36,10 @@
     fn fill(&mut self, pool: usize) {
         let mut useful = self.moves.len();
         let mut least = self.deficit(pool);
-        while self.deficit(pool) > 0 && self.has_room() {
+        while self.deficit(pool) > 0 && self.can_add_move() {
             let found = self.best_free(pool).or_else(|| self.best_donor(pool));
             let Some(n) = found else {
-                return self.rewind(useful);
+                return self.undo_to(useful);
             };
             self.push(n, pool, Reason::Demand);
             if self.deficit(pool) < least {
@@ -50,13 +50,13 @@
     }
 
     pub(crate) fn deficit(&self, pool: usize) -> u64 {
-        self.loads[pool].deficit(&self.problem.needs[pool])
+        self.capacities[pool].deficit(&self.problem.specs[pool])
     }
 
     /// The best machine of a spare pool.
     pub(crate) fn best_free(&self, pool: usize) -> Option<usize> {
         let mut best: Option<(Score, usize)> = None;
-        for rack in &self.free {
+        for rack in &self.spare_machines {
             for n in rack.iter().copied() {
                 let Some(score) = self.score(n, pool, rack.len()) else {
                     continue;
@@ -73,7 +73,7 @@
     fn best_donor(&mut self, pool: usize) -> Option<usize> {
         let mut scored: Vec<_> = (0..self.machines.len())
             .filter(|n| self.machines[*n].pool != pool)
-            .filter(|n| !self.problem.needs[self.machines[*n].pool].spare)
+            .filter(|n| !self.problem.specs[self.machines[*n].pool].spare)
             .filter_map(|n| self.score(n, pool, 0).map(|score| (score, n)))
             .collect();
         scored.sort_by_key(|(score, _)| Reverse(*score));
@@ -87,21 +87,23 @@
     /// centre, and a rack that has many free ones left for other pools.
     fn score(&self, n: usize, pool: usize, left: usize) -> Option<Score> {
         let machine = &self.machines[n];
-        let need = &self.problem.needs[pool];
-        let load = &self.loads[pool];
-        let worth = need.worth(machine);
-        if worth == 0 || !self.may_join(n, pool) {
+        let spec = &self.problem.specs[pool];
+        let capacity = &self.capacities[pool];
+        let slots = spec.usable_slots(machine);
+        if slots == 0 || !self.may_join(n, pool) {
             return None;
         }
-        let before = load.safe(need).min(need.demand);
-        let after = load.safe_with(machine, worth, need).min(need.demand);
-        let crowd = load.rack(machine.rack) + worth;
+        let before = capacity.surviving(spec).min(spec.demand);
+        let after = capacity
+            .surviving_with(machine, slots, spec)
+            .min(spec.demand);
+        let crowd = capacity.rack(machine.rack) + slots;
         let gain = after.saturating_sub(before);
         Some((
             gain,
-            Reverse(worth - gain.min(worth)),
-            Reverse(machine.drain),
-            Reverse(crowd + load.dc(machine.dc) * u64::from(need.any_dc)),
+            Reverse(slots - gain.min(slots)),
+            Reverse(machine.drain_secs),
+            Reverse(crowd + capacity.dc(machine.dc) * u64::from(spec.any_dc)),
             left,
             Reverse(n),
         ))
--- a/crates/assignment/src/snapshot.rs
+++ b/crates/assignment/src/snapshot.rs
@@ -3,33 +3,33 @@
 use cactuswheel_fleet::{Stage, State};
 use cactuswheel_model::{DcId, Map, PoolId, Purpose, RackId};
 
-use crate::{Machine, Need, Problem, Weights};
+use crate::{Machine, PoolSpec, Problem, Weights};
 
 /// Time for which a move is taken to wait for one job, in seconds; run times are not known.
-const JOB: u64 = 3_600;
+const JOB_DRAIN_SECS: u64 = 3_600;
 
 /// Reads the problem off the fold; what is lost counts for nothing.
-pub fn problem_of(state: &State, weights: Weights, max_moves: usize) -> Problem {
+pub fn problem_from_state(state: &State, weights: Weights, max_moves: usize) -> Problem {
     let config = state.config();
     let mut pools: Map<&PoolId, usize> = Map::default();
-    let mut needs = Vec::new();
+    let mut specs = Vec::new();
     for pool in config.pools.values() {
-        pools.insert(&pool.id, needs.len());
-        needs.push(Need {
+        pools.insert(&pool.id, specs.len());
+        specs.push(PoolSpec {
             id: Some(pool.id.clone()),
             spare: pool.spare,
-            ..Need::default()
+            ..PoolSpec::default()
         });
     }
     for service in config.services.values() {
-        let Some(need) = pools.get(&service.pool).map(|n| &mut needs[*n]) else {
+        let Some(spec) = pools.get(&service.pool).map(|n| &mut specs[*n]) else {
             continue;
         };
-        need.demand += u64::from(service.demand.get());
+        spec.demand += u64::from(service.demand.get());
         let down = service.max_down as usize;
-        need.max_down = Some(need.max_down.map_or(down, |least| least.min(down)));
+        spec.max_down = Some(spec.max_down.map_or(down, |least| least.min(down)));
         // A pool that serves something is no store to take from freely.
-        need.spare = false;
+        spec.spare = false;
     }
     let mut racks: Map<(&DcId, &RackId), usize> = Map::default();
     let mut dcs: Map<&DcId, usize> = Map::default();
@@ -57,14 +57,14 @@
             pool: pools.get(pool).copied().unwrap_or(0),
             lost: stage == Some(&Stage::Lost),
             pinned: stage.is_some(),
-            drain: u64::from(placed) * JOB,
+            drain_secs: u64::from(placed) * JOB_DRAIN_SECS,
         });
     }
     Problem {
         racks: racks.len(),
         dcs: dcs.len(),
         machines,
-        needs,
+        specs,
         weights,
         max_moves,
     }
--- a/crates/bench/src/stage.rs
+++ b/crates/bench/src/stage.rs
@@ -7,7 +7,7 @@
 use cactuswheel_daemon::{Node, Settings};
 use cactuswheel_http::Call;
 use cactuswheel_model::{Digest, Incarnation};
-use cactuswheel_platform::{Presence, Sighting};
+use cactuswheel_platform::{Presence, RosterEntry};
 use cactuswheel_standin::{Platform, Upstream};
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
@@ -90,7 +90,7 @@
         let id = format!("w{n}");
         let upstream = Upstream::new(&id).with_slots(SLOTS).without_record();
         tokio::spawn(upstream.clone().serve(listener));
-        platform.list(Sighting {
+        platform.list(RosterEntry {
             id: id.parse()?,
             incarnation: Incarnation::new(1),
             addr,
--- a/crates/daemon/src/admin/instances.rs
+++ b/crates/daemon/src/admin/instances.rs
@@ -4,7 +4,7 @@
 
 use cactuswheel_fleet::{Stage, State};
 use cactuswheel_model::{Incarnation, Instance, InstanceId, Map};
-use cactuswheel_platform::{Presence, Sighting, Sightings};
+use cactuswheel_platform::{Presence, RosterEntry, RosterSnapshot};
 use serde::Serialize;
 
 /// One instance.
@@ -23,7 +23,7 @@
 /// Shows every described instance beside its sighting.
 pub(super) fn instances<'a>(
     state: &'a State,
-    sightings: &'a Sightings,
+    sightings: &'a RosterSnapshot,
 ) -> impl Iterator<Item = InstanceView<'a>> {
     let seen = by_id(sightings);
     let rows = state.config().instances.values();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Sightings by instance.
-pub(super) fn by_id(sightings: &Sightings) -> Map<&InstanceId, &Sighting> {
+/// Roster entries by instance.
+pub(super) fn by_id(sightings: &RosterSnapshot) -> Map<&InstanceId, &RosterEntry> {
     sightings.instances.iter().map(|s| (&s.id, s)).collect()
 }
--- a/crates/daemon/src/admin/plan.rs
+++ b/crates/daemon/src/admin/plan.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use cactuswheel_assignment::{Plan, plan, problem_of};
+use cactuswheel_assignment::{Plan, plan, problem_from_state};
 use cactuswheel_fleet::State;
 use cactuswheel_http::{Reply, json};
 use cactuswheel_model::{Code, Moves, OperatorId, Record, Refusal, WantedMove};
@@ -59,7 +59,7 @@
     let settings = shared.settings.assignment.clone();
     let known = state.clone();
     let made = spawn_blocking(move || {
-        let problem = problem_of(&known, settings.weights, settings.moves);
+        let problem = problem_from_state(&known, settings.weights, settings.moves);
         plan(&problem)
     });
     let made = made
--- a/crates/daemon/src/admin/pools.rs
+++ b/crates/daemon/src/admin/pools.rs
@@ -2,7 +2,7 @@
 
 use cactuswheel_fleet::State;
 use cactuswheel_model::{Map, PoolId, ServiceId};
-use cactuswheel_platform::{Presence, Sightings};
+use cactuswheel_platform::{Presence, RosterSnapshot};
 use serde::Serialize;
 
 use super::instances::by_id;
@@ -48,7 +48,7 @@
 /// Shows every pool.
 pub(super) fn pools<'a>(
     state: &'a State,
-    sightings: &Sightings,
+    sightings: &RosterSnapshot,
 ) -> impl Iterator<Item = PoolView<'a>> {
     let sizes = sizes(state, sightings);
     state.config().pools.values().map(move |pool| {
@@ -67,7 +67,7 @@
 /// Shows every service's budget.
 pub(super) fn budgets<'a>(
     state: &'a State,
-    sightings: &Sightings,
+    sightings: &RosterSnapshot,
 ) -> impl Iterator<Item = BudgetView<'a>> {
     let sizes = sizes(state, sightings);
     let budgets = state.disruptions().budgets(state.config());
@@ -87,7 +87,7 @@
     })
 }
 
-fn sizes<'a>(state: &'a State, sightings: &Sightings) -> Map<&'a PoolId, Size> {
+fn sizes<'a>(state: &'a State, sightings: &RosterSnapshot) -> Map<&'a PoolId, Size> {
     let seen = by_id(sightings);
     let mut sizes: Map<&PoolId, Size> = Map::default();
     for instance in state.config().instances.values() {
--- a/crates/daemon/src/admin/propose.rs
+++ b/crates/daemon/src/admin/propose.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::{Code, Offset, Record, Refusal};
-use cactuswheel_platform::Use;
+use cactuswheel_platform::AppendPurpose;
 use tokio::time::timeout;
 
 use crate::shared::Shared;
@@ -18,7 +18,7 @@
     let body = serde_json::to_string(record)
         .map_err(|e| Refusal::new(Code::BadRequest).with_detail(e.to_string()))?;
     let unknown = |e: String| Refusal::new(Code::LogUnknown).with_detail(e);
-    let append = shared.appender.append(Use::Ticket, body);
+    let append = shared.appender.append(AppendPurpose::Ticket, body);
     let offset = timeout(LIMIT, append)
         .await
         .map_err(|_| unknown("no answer in time".into()))?
--- a/crates/daemon/src/admin/tickets.rs
+++ b/crates/daemon/src/admin/tickets.rs
@@ -8,7 +8,7 @@
 use cactuswheel_model::{
     Code, Digest, ObjectId, Offset, OperatorId, Record, Refusal, Ticket, WallTime,
 };
-use cactuswheel_platform::{LogError, Use};
+use cactuswheel_platform::{AppendPurpose, LogError};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use tokio::time::{Instant, timeout_at};
@@ -106,7 +106,7 @@
         return Ok(first);
     }
     loop {
-        let append = shared.appender.append(Use::Ticket, body.clone());
+        let append = shared.appender.append(AppendPurpose::Ticket, body.clone());
         let error = match timeout_at(until, append).await {
             Ok(Ok(offset)) => {
                 read_back(shared, |next| next > offset, until).await;
--- a/crates/daemon/src/appender.rs
+++ b/crates/daemon/src/appender.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use cactuswheel_model::{Offset, Time};
-use cactuswheel_platform::{AppendBudget, Log, LogError, Stream, Use};
+use cactuswheel_platform::{AppendBudget, AppendPurpose, Log, LogError, Stream};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep};
 
@@ -42,7 +42,7 @@
     ///
     /// On [`LogError::Unknown`] it may stand in the log; who sends it again has to be sure
     /// that the fold takes it once.
-    pub(crate) async fn append(&self, of: Use, body: String) -> Result<Offset, LogError> {
+    pub(crate) async fn append(&self, of: AppendPurpose, body: String) -> Result<Offset, LogError> {
         let queue = self.queue(of);
         let (done, answer) = oneshot::channel();
         if !queue.push(Waiting { body, done }) {
@@ -53,10 +53,10 @@
         answer.await.map_err(|_| lost())?
     }
 
-    fn queue(&self, of: Use) -> &Queue {
+    fn queue(&self, of: AppendPurpose) -> &Queue {
         match of {
-            Use::Ticket => &self.tickets,
-            Use::Control => &self.control,
+            AppendPurpose::Ticket => &self.tickets,
+            AppendPurpose::Control => &self.control,
         }
     }
 }
@@ -89,12 +89,12 @@
 
 /// Appends what waits, within the budget of each use, for as long as the task lives.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let uses = Use::ALL.map(|of| drain(&shared, of));
+    let uses = AppendPurpose::ALL.map(|of| drain(&shared, of));
     let [tickets, control] = uses;
     tokio::join!(tickets, control);
 }
 
-async fn drain(shared: &Shared, of: Use) {
+async fn drain(shared: &Shared, of: AppendPurpose) {
     let queue = shared.appender.queue(of);
     let start = Instant::now();
     let mut budget = AppendBudget::new(of);
--- a/crates/daemon/src/catch_up.rs
+++ b/crates/daemon/src/catch_up.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_fleet::State;
 use cactuswheel_model::Offset;
-use cactuswheel_platform::Sightings;
+use cactuswheel_platform::RosterSnapshot;
 use cactuswheel_wire::{Link, WireError};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-fn take_whole(shared: &Shared, state: State, sightings: Sightings) {
+fn take_whole(shared: &Shared, state: State, sightings: RosterSnapshot) {
     // Whatever the roster itself told is newer than what a peer remembers.
     if shared.sightings.load().instances.is_empty() {
         sightings::take(shared, sightings);
--- a/crates/daemon/src/denials.rs
+++ b/crates/daemon/src/denials.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_admission::Denials;
 use cactuswheel_model::{Denial, Digest, Record};
-use cactuswheel_platform::Use;
+use cactuswheel_platform::AppendPurpose;
 use tokio::time::sleep;
 
 use crate::shared::Shared;
@@ -83,7 +83,7 @@
     let Ok(body) = serde_json::to_string(&Record::Denial(denial)) else {
         return;
     };
-    if let Err(e) = shared.appender.append(Use::Control, body).await {
+    if let Err(e) = shared.appender.append(AppendPurpose::Control, body).await {
         log::debug!("denial not recorded yet: {e}");
     }
 }
--- a/crates/daemon/src/embedded.rs
+++ b/crates/daemon/src/embedded.rs
@@ -4,7 +4,7 @@
 
 use cactuswheel_http::{Call, parse_json};
 use cactuswheel_model::{Digest, Incarnation, InstanceId, Millis, Ticket};
-use cactuswheel_platform::{Presence, Sighting};
+use cactuswheel_platform::{Presence, RosterEntry};
 use cactuswheel_standin::{Platform, Upstream};
 use log::LevelFilter;
 use tokio::net::TcpListener;
@@ -50,7 +50,7 @@
 async fn start_upstream(platform: &Platform, name: &str, host: IpAddr) -> Result<(), StartError> {
     let (listener, addr) = listen(host).await?;
     let id: InstanceId = parse(name)?;
-    platform.list(Sighting {
+    platform.list(RosterEntry {
         id,
         incarnation: Incarnation::new(1),
         addr,
--- a/crates/daemon/src/holding.rs
+++ b/crates/daemon/src/holding.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::{Holding, Offset, Record};
-use cactuswheel_platform::{Log, Stream, Use};
+use cactuswheel_platform::{AppendPurpose, Log, Stream};
 use futures::future::join_all;
 use tokio::time::{sleep, timeout};
 
@@ -44,7 +44,7 @@
 async fn tell(shared: &Shared, records: Vec<Holding>) {
     let bodies = records.into_iter().map(Record::Holding);
     let bodies = bodies.filter_map(|r| serde_json::to_string(&r).ok());
-    let appends = bodies.map(|body| shared.appender.append(Use::Control, body));
+    let appends = bodies.map(|body| shared.appender.append(AppendPurpose::Control, body));
     let done = join_all(appends).await;
     let last = done.into_iter().filter_map(|offset| match offset {
         Ok(offset) => Some(offset),
--- a/crates/daemon/src/jobs/driver.rs
+++ b/crates/daemon/src/jobs/driver.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_model::{EntryId, JobEvent};
 use cactuswheel_platform::{Log, Stream, TaskError, TaskId, Tasks};
-use cactuswheel_scheduling::{Planner, leads};
+use cactuswheel_scheduling::{Planner, is_leader};
 use futures::StreamExt;
 use tokio::time::{Instant, sleep};
 
@@ -37,7 +37,8 @@
     let mut driver = Driver::new(shared.clone());
     loop {
         sleep(PERIOD).await;
-        if shared.phase.get() == Phase::Ready && leads(&shared.settings.entry, &peers(&shared)) {
+        if shared.phase.get() == Phase::Ready && is_leader(&shared.settings.entry, &peers(&shared))
+        {
             driver.round().await;
         }
     }
@@ -122,7 +123,7 @@
             match told {
                 Ok(()) => self.tasks.start(task),
                 // The roster tells the later life soon, and the attempt is lost then.
-                Err(TaskError::OtherLife) => log::info!("job {}: worker has restarted", task.job),
+                Err(TaskError::Restarted) => log::info!("job {}: worker has restarted", task.job),
                 Err(e) => log::warn!("job {}: {e}", task.job),
             }
         }
--- a/crates/daemon/src/jobs/event_queue.rs
+++ b/crates/daemon/src/jobs/event_queue.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cactuswheel_model::{Code, JobEvent, Map, Offset, Record, Refusal};
-use cactuswheel_platform::{LogError, Use};
+use cactuswheel_platform::{AppendPurpose, LogError};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -129,7 +129,11 @@
     let body = serde_json::to_string(&Record::Jobs(events)).map_err(|e| unknown(e.to_string()))?;
     let until = Instant::now() + LIMIT;
     let offset = loop {
-        let error = match shared.appender.append(Use::Control, body.clone()).await {
+        let error = match shared
+            .appender
+            .append(AppendPurpose::Control, body.clone())
+            .await
+        {
             Ok(offset) => break offset,
             Err(LogError::Trimmed(_)) => "trimmed".to_owned(),
             Err(e) => e.to_string(),
--- a/crates/daemon/src/jobs/round.rs
+++ b/crates/daemon/src/jobs/round.rs
@@ -2,8 +2,8 @@
 
 use cactuswheel_fleet::State;
 use cactuswheel_model::{InstanceId, JobEvent, Set, Time};
-use cactuswheel_platform::{Batch, Presence, Sightings, TaskId, TaskNews, TaskReport};
-use cactuswheel_scheduling::{Planner, Proposal, WorkerLife};
+use cactuswheel_platform::{Batch, Presence, RosterSnapshot, TaskEvent, TaskId, TaskReport};
+use cactuswheel_scheduling::{LiveWorker, Planner, Proposal};
 
 /// The events that workers' reports come to; usage is learnt here and goes no further.
 pub(super) fn report(batch: &Batch, state: &State, planner: &mut Planner) -> Vec<JobEvent> {
@@ -15,11 +15,13 @@
         };
         let TaskId { job, attempt } = task;
         match news {
-            TaskNews::Checkpoint(mark) => events.push(JobEvent::Checkpoint { job, attempt, mark }),
-            TaskNews::Ended(end) => events.push(JobEvent::End { job, attempt, end }),
-            TaskNews::Usage(used) => {
+            TaskEvent::Checkpoint(mark) => events.push(JobEvent::Checkpoint { job, attempt, mark }),
+            TaskEvent::Ended(end) => events.push(JobEvent::End { job, attempt, end }),
+            TaskEvent::Usage(used) => {
                 if let Some(known) = state.jobs().get(&job) {
-                    planner.sizes.learn(&job.team, known.spec.room, used);
+                    planner
+                        .estimates
+                        .record_usage(&job.team, known.spec.room, used);
                 }
             }
         }
@@ -35,7 +37,7 @@
 /// Placements for the log, and attempts to stop.
 pub(super) fn place(
     state: &State,
-    seen: &Sightings,
+    seen: &RosterSnapshot,
     drained: &Set<InstanceId>,
     planner: &mut Planner,
     now: Time,
@@ -44,7 +46,7 @@
         .instances
         .iter()
         .filter(|s| s.presence == Presence::Live)
-        .map(|s| WorkerLife {
+        .map(|s| LiveWorker {
             id: s.id.clone(),
             incarnation: s.incarnation,
         })
--- a/crates/daemon/src/jobs/workers.rs
+++ b/crates/daemon/src/jobs/workers.rs
@@ -2,7 +2,7 @@
 
 use cactuswheel_fleet::{Job, JobPhase, State};
 use cactuswheel_model::{Attempt, AttemptEnd, JobEvent, JobId, Map, Retry, Set};
-use cactuswheel_platform::{Sightings, TaskId, TaskOrder};
+use cactuswheel_platform::{RosterSnapshot, TaskId, TaskOrder};
 
 /// Time after which a worker stops a task whose lease is not renewed, in ms.
 ///
@@ -87,7 +87,7 @@
 ///
 /// A worker that is only missing from the roster may still run its tasks: the roster lags, and
 /// a partition hides whole data centres. Nothing is concluded from that.
-pub(crate) fn lost(state: &State, seen: &Sightings) -> Vec<JobEvent> {
+pub(crate) fn lost(state: &State, seen: &RosterSnapshot) -> Vec<JobEvent> {
     let lives: Map<_, _> = seen
         .instances
         .iter()
--- a/crates/daemon/src/maintenance.rs
+++ b/crates/daemon/src/maintenance.rs
@@ -6,7 +6,7 @@
 use cactuswheel_maintenance::{Action, Activity, Driver, Look, Order, Seen, Verb, View};
 use cactuswheel_model::{InstanceId, Map, Record};
 use cactuswheel_platform as platform;
-use cactuswheel_platform::{Presence, Use, WorkerState, Workers};
+use cactuswheel_platform::{AppendPurpose, Presence, WorkerState, Workers};
 use tokio::time::sleep;
 
 use crate::Phase;
@@ -106,13 +106,13 @@
         Ok(body) => body,
         Err(e) => return log::error!("{record:?} has no text: {e}"),
     };
-    if let Err(e) = shared.appender.append(Use::Control, body).await {
+    if let Err(e) = shared.appender.append(AppendPurpose::Control, body).await {
         log::warn!("maintenance: {e}");
     }
 }
 
 async fn obey(shared: &Shared, order: &Order) {
-    let what = platform::Order {
+    let what = platform::WorkerOrder {
         incarnation: order.incarnation,
         fence: order.fence,
     };
--- a/crates/daemon/src/peer_snapshot.rs
+++ b/crates/daemon/src/peer_snapshot.rs
@@ -2,7 +2,7 @@
 
 use cactuswheel_fleet::{Snapshot, SnapshotError, State};
 use cactuswheel_model::Offset;
-use cactuswheel_platform::Sightings;
+use cactuswheel_platform::RosterSnapshot;
 
 /// A state and the sightings beside it: without addresses the state alone serves nobody.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
 
 impl PeerSnapshot {
     /// Writes both.
-    pub(crate) fn of(state: &State, sightings: &Sightings) -> Result<Self, SnapshotError> {
+    pub(crate) fn of(state: &State, sightings: &RosterSnapshot) -> Result<Self, SnapshotError> {
         let snapshot = Snapshot::of(state)?;
         let sightings = serde_json::to_string(sightings)?;
         Ok(Self {
@@ -25,7 +25,7 @@
     }
 
     /// Reads both back.
-    pub(crate) fn read(&self) -> Result<(State, Sightings), SnapshotError> {
+    pub(crate) fn read(&self) -> Result<(State, RosterSnapshot), SnapshotError> {
         let (state, sightings) = self.text.split_once('\n').unwrap_or_default();
         let state = Snapshot::from_text(self.head, state.to_owned()).state()?;
         Ok((state, serde_json::from_str(sightings)?))
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -7,7 +7,7 @@
 use cactuswheel_admission::{Denials, Holder, Shares};
 use cactuswheel_fleet::{Replica, State};
 use cactuswheel_model::{EntryId, InstanceId, LifeId, Map, Offset, Refusal, Set, TeamId, Time};
-use cactuswheel_platform::{Client, Sightings};
+use cactuswheel_platform::{Client, RosterSnapshot};
 use cactuswheel_routing::{Presences, Routes, Upstream};
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
@@ -33,7 +33,7 @@
     pub(crate) state: ArcSwap<State>,
     /// The newest sightings; only the roster's task stores here, and `catch_up` while there are
     /// none.
-    pub(crate) sightings: ArcSwap<Sightings>,
+    pub(crate) sightings: ArcSwap<RosterSnapshot>,
     /// Why maintenance waits, as of its last step.
     pub(crate) waits: ArcSwap<Vec<String>>,
     pub(crate) jobs: EventQueue,
--- a/crates/daemon/src/sightings.rs
+++ b/crates/daemon/src/sightings.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cactuswheel_platform::{Presence, Roster, Sightings};
+use cactuswheel_platform::{Presence, Roster, RosterSnapshot};
 use cactuswheel_routing::Life;
 use tokio::time::sleep;
 
@@ -39,8 +39,8 @@
 }
 
 /// The newest sightings, with what upstreams themselves said of their leaving.
-pub(crate) fn known(shared: &Shared) -> Sightings {
-    let mut list = Sightings::clone(&shared.sightings.load());
+pub(crate) fn known(shared: &Shared) -> RosterSnapshot {
+    let mut list = RosterSnapshot::clone(&shared.sightings.load());
     let presences = shared.presences();
     for seen in &mut list.instances {
         let life = presences.get(&seen.id);
@@ -52,7 +52,7 @@
 }
 
 /// Takes what the roster, or a peer in its place, lists.
-pub(crate) fn take(shared: &Shared, list: Sightings) {
+pub(crate) fn take(shared: &Shared, list: RosterSnapshot) {
     let mut changed = false;
     let mut presences = shared.presences();
     for seen in &list.instances {
--- a/crates/daemon/src/snapshots.rs
+++ b/crates/daemon/src/snapshots.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_fleet::{Assembler, Snapshot, SnapshotPolicy, SnapshotTimer, State};
 use cactuswheel_model::{Offset, Record, Time};
-use cactuswheel_platform::{Log, LogError, Stream, Use};
+use cactuswheel_platform::{AppendPurpose, Log, LogError, Stream};
 use tokio::time::{Instant, sleep};
 
 use crate::Phase;
@@ -70,7 +70,7 @@
         append_part(shared, part).await?;
         sleep(PART_PAUSE).await;
     }
-    shared.appender.append(Use::Control, mark).await?;
+    shared.appender.append(AppendPurpose::Control, mark).await?;
     Ok(head)
 }
 
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -6,14 +6,14 @@
 
 /// What an append is for; each use has its own budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum AppendPurpose {
     /// Operators' tickets.
     Ticket,
     /// Records that entries propose by themselves.
     Control,
 }
 
-impl Use {
+impl AppendPurpose {
     /// Every use.
     pub const ALL: [Self; 2] = [Self::Ticket, Self::Control];
 
@@ -34,7 +34,7 @@
     /// Time for one more append.
     gap: Duration,
     /// Invariant: at most `BURST` gaps in the past.
-    free: Time,
+    next_free: Time,
 }
 
 /// Appends that may follow each other at once after a quiet time.
@@ -42,10 +42,10 @@
 
 impl AppendBudget {
     /// A full budget.
-    pub fn new(of: Use) -> Self {
+    pub fn new(of: AppendPurpose) -> Self {
         Self {
             gap: Duration::from_secs(1) / of.rate(),
-            free: Time::default(),
+            next_free: Time::default(),
         }
     }
 
@@ -53,8 +53,8 @@
     pub fn take(&mut self, now: Time) -> Duration {
         let saved = self.gap * (BURST - 1);
         let earliest = now.get().saturating_sub(saved.as_millis() as u64);
-        let at = self.free.max(Time::new(earliest));
-        self.free = at.after(self.gap);
+        let at = self.next_free.max(Time::new(earliest));
+        self.next_free = at.after(self.gap);
         at.since(now)
     }
 }
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -3,29 +3,29 @@
 use cactuswheel_model::InstanceId;
 use serde::{Deserialize, Serialize};
 
-use crate::{Sighting, Sightings};
+use crate::{RosterEntry, RosterSnapshot};
 
 /// Changes since a version of the list, or all of it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changes {
+pub struct RosterChanges {
     /// The version after these changes; empty before the first answer.
     pub version: String,
     /// Whether `listed` is the whole list.
     pub whole: bool,
     /// Instances that are new or listed otherwise than before.
-    pub listed: Vec<Sighting>,
+    pub listed: Vec<RosterEntry>,
     /// Instances that are no longer listed.
     pub gone: Vec<InstanceId>,
 }
 
-impl Changes {
+impl RosterChanges {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
         !self.whole && self.listed.is_empty() && self.gone.is_empty()
     }
 
     /// The list after these changes, sorted by name.
-    pub fn apply(&self, old: &Sightings) -> Sightings {
+    pub fn apply(&self, old: &RosterSnapshot) -> RosterSnapshot {
         let changed = |id: &InstanceId| {
             self.gone.contains(id) || self.listed.iter().any(|seen| seen.id == *id)
         };
@@ -35,6 +35,6 @@
             .filter(|s| !self.whole && !changed(&s.id));
         let mut instances: Vec<_> = kept.chain(&self.listed).cloned().collect();
         instances.sort_by(|a, b| a.id.cmp(&b.id));
-        Sightings { instances }
+        RosterSnapshot { instances }
     }
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -11,12 +11,12 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    Appended, Batch, Changes, Log, LogError, Roster, RosterError, Stream, TaskError, TaskId,
+    Appended, Batch, Log, LogError, Roster, RosterChanges, RosterError, Stream, TaskError, TaskId,
     TaskOrder, Tasks,
 };
 
 /// Time limit of a call, on top of the wait that it asks for.
-pub(crate) const LIMIT: Duration = Duration::from_secs(3);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Client of the platform's services.
 #[derive(Debug, Clone)]
@@ -54,7 +54,7 @@
             .post(format!("/log/{stream}"))
             .with_json(&bodies)
             .map_err(|e| LogError::Unavailable(e.to_string()))?
-            .with_timeout(LIMIT);
+            .with_timeout(CALL_TIMEOUT);
         decode(call.send().await.map_err(LogError::from)?)
     }
 
@@ -69,16 +69,16 @@
             "/log/{stream}?from={from}&max={max}&wait={}",
             wait.as_millis()
         );
-        let call = self.get(path).with_timeout(wait + LIMIT);
+        let call = self.get(path).with_timeout(wait + CALL_TIMEOUT);
         decode(call.send().await.map_err(LogError::from)?)
     }
 }
 
 impl Roster for Client {
-    async fn changes(&self, since: &str) -> Result<Changes, RosterError> {
+    async fn changes(&self, since: &str) -> Result<RosterChanges, RosterError> {
         let call = self
             .get(format!("/roster?since={since}"))
-            .with_timeout(LIMIT);
+            .with_timeout(CALL_TIMEOUT);
         let answer = call.send().await.map_err(|e| RosterError(e.to_string()))?;
         if answer.status != StatusCode::OK {
             return Err(RosterError(answer.status.to_string()));
@@ -89,30 +89,30 @@
 
 impl Tasks for Client {
     async fn start(&self, order: &TaskOrder) -> Result<(), TaskError> {
-        self.tell("/tasks/start", order).await
+        self.send_tasks("/tasks/start", order).await
     }
 
     async fn renew(&self, tasks: &[TaskId], lease: u64) -> Result<(), TaskError> {
-        self.tell("/tasks/renew", &(tasks, lease)).await
+        self.send_tasks("/tasks/renew", &(tasks, lease)).await
     }
 
     async fn stop(&self, tasks: &[TaskId]) -> Result<(), TaskError> {
-        self.tell("/tasks/stop", &tasks).await
+        self.send_tasks("/tasks/stop", &tasks).await
     }
 }
 
 impl Client {
-    async fn tell<T: Serialize + Sync>(&self, path: &str, what: &T) -> Result<(), TaskError> {
+    async fn send_tasks<T: Serialize + Sync>(&self, path: &str, body: &T) -> Result<(), TaskError> {
         let unknown = |e: &dyn std::fmt::Display| TaskError::Unknown(e.to_string());
-        let call = self.post(path).with_json(what).map_err(|e| unknown(&e))?;
+        let call = self.post(path).with_json(body).map_err(|e| unknown(&e))?;
         let answer = call
-            .with_timeout(LIMIT)
+            .with_timeout(CALL_TIMEOUT)
             .send()
             .await
             .map_err(|e| unknown(&e))?;
         match answer.status {
             StatusCode::OK => Ok(()),
-            StatusCode::CONFLICT => Err(TaskError::OtherLife),
+            StatusCode::CONFLICT => Err(TaskError::Restarted),
             status => Err(unknown(&status)),
         }
     }
--- a/crates/platform/src/control.rs
+++ b/crates/platform/src/control.rs
@@ -4,19 +4,19 @@
 use cactuswheel_model::InstanceId;
 use hyper::StatusCode;
 
-use crate::client::LIMIT;
-use crate::{Client, Order, WorkerError, WorkerState, Workers};
+use crate::client::CALL_TIMEOUT;
+use crate::{Client, WorkerError, WorkerOrder, WorkerState, Workers};
 
 impl Workers for Client {
-    async fn drain(&self, instance: &InstanceId, order: Order) -> Result<(), WorkerError> {
+    async fn drain(&self, instance: &InstanceId, order: WorkerOrder) -> Result<(), WorkerError> {
         self.order(instance, "drain", order).await
     }
 
-    async fn resume(&self, instance: &InstanceId, order: Order) -> Result<(), WorkerError> {
+    async fn resume(&self, instance: &InstanceId, order: WorkerOrder) -> Result<(), WorkerError> {
         self.order(instance, "resume", order).await
     }
 
-    async fn reboot(&self, instance: &InstanceId, order: Order) -> Result<(), WorkerError> {
+    async fn reboot(&self, instance: &InstanceId, order: WorkerOrder) -> Result<(), WorkerError> {
         self.order(instance, "reboot", order).await
     }
 
@@ -25,7 +25,7 @@
             .post("/worker-states")
             .with_json(&instances)
             .map_err(|e| WorkerError::Unavailable(e.to_string()))?
-            .with_timeout(LIMIT);
+            .with_timeout(CALL_TIMEOUT);
         let answer = check(call.send().await?)?;
         answer
             .json()
@@ -37,14 +37,14 @@
     async fn order(
         &self,
         instance: &InstanceId,
-        what: &str,
-        order: Order,
+        action: &str,
+        order: WorkerOrder,
     ) -> Result<(), WorkerError> {
         let call = self
-            .post(format!("/workers/{instance}/{what}"))
+            .post(format!("/workers/{instance}/{action}"))
             .with_json(&order)
             .map_err(|e| WorkerError::Unavailable(e.to_string()))?
-            .with_timeout(LIMIT);
+            .with_timeout(CALL_TIMEOUT);
         check(call.send().await?).map(drop)
     }
 }
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -1,6 +1,6 @@
 //! The roster of instances.
 
-use crate::Changes;
+use crate::RosterChanges;
 
 /// Why the roster could not be read.
 #[derive(Debug, thiserror::Error)]
@@ -16,5 +16,8 @@
     ///
     /// The list is long and seldom changes: read whole, 8,700 instances would cost a node far
     /// more than its part of the network.
-    fn changes(&self, since: &str) -> impl Future<Output = Result<Changes, RosterError>> + Send;
+    fn changes(
+        &self,
+        since: &str,
+    ) -> impl Future<Output = Result<RosterChanges, RosterError>> + Send;
 }
--- a/crates/platform/src/sighting.rs
+++ b/crates/platform/src/roster_entry.rs
@@ -17,7 +17,7 @@
 
 /// One instance, as the platform saw it some time ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sighting {
+pub struct RosterEntry {
     /// Its name.
     pub id: InstanceId,
     /// Which of its lives.
@@ -30,7 +30,7 @@
 
 /// The whole list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sightings {
+pub struct RosterSnapshot {
     /// The instances listed.
-    pub instances: Vec<Sighting>,
+    pub instances: Vec<RosterEntry>,
 }
--- a/crates/platform/src/tasks.rs
+++ b/crates/platform/src/tasks.rs
@@ -37,13 +37,13 @@
     /// The attempt.
     pub task: TaskId,
     /// What there is to report.
-    pub news: TaskNews,
+    pub news: TaskEvent,
 }
 
 /// News of a task.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TaskNews {
+pub enum TaskEvent {
     /// The most that it took up so far.
     Usage(Room),
     /// A checkpoint was stored.
@@ -57,7 +57,7 @@
 pub enum TaskError {
     /// The worker's life is another one: what ran in the life that is meant is over.
     #[error("worker is in another life")]
-    OtherLife,
+    Restarted,
     /// No answer; the worker may have been told.
     #[error("worker control gave no answer: {0}")]
     Unknown(String),
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -5,7 +5,7 @@
 
 /// Which life of an instance an order is for, and on whose grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct WorkerOrder {
     /// The life. An order for another life is refused.
     pub incarnation: Incarnation,
     /// The grant. An order on a grant at or below one that was resumed is refused.
@@ -57,21 +57,21 @@
     fn drain(
         &self,
         instance: &InstanceId,
-        order: Order,
+        order: WorkerOrder,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
     /// Lets an instance take work again and ends every grant up to this one.
     fn resume(
         &self,
         instance: &InstanceId,
-        order: Order,
+        order: WorkerOrder,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
     /// Reboots an instance; it comes back in its next life.
     fn reboot(
         &self,
         instance: &InstanceId,
-        order: Order,
+        order: WorkerOrder,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
     /// Looks at some instances; unknown ones are left out.
--- a/crates/scheduling/src/turns.rs
+++ b/crates/scheduling/src/fair_queue.rs
@@ -10,7 +10,7 @@
 
 /// One team's waiting jobs.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct TeamQueue {
     /// The team.
     pub(crate) team: TeamId,
     /// Jobs that wait, oldest first.
@@ -25,44 +25,46 @@
 
 /// Gives turns so that running jobs come close to the teams' shares.
 #[derive(Debug, Default)]
-pub(crate) struct Turns {
-    lines: Vec<Line>,
-    /// Running per share, and index into `lines`; the smallest has the next turn.
+pub(crate) struct FairQueue {
+    queues: Vec<TeamQueue>,
+    /// Running per share, and index into `queues`; the smallest has the next turn.
     heap: BinaryHeap<Reverse<(u64, usize)>>,
 }
 
-impl Turns {
+impl FairQueue {
     /// Adds a team; one that waits for nothing or is at its limit gets no turn.
-    pub(crate) fn push(&mut self, line: Line) {
-        let i = self.lines.len();
-        self.lines.push(line);
-        self.queue(i);
+    pub(crate) fn push(&mut self, queue: TeamQueue) {
+        let i = self.queues.len();
+        self.queues.push(queue);
+        self.requeue(i);
     }
 
-    /// The next job, with the index of its line.
+    /// The next job, with the index of its queue.
     pub(crate) fn next(&mut self) -> Option<(usize, JobId)> {
         let Reverse((_, i)) = self.heap.pop()?;
-        let job = self.lines[i].jobs.pop_front()?;
+        let job = self.queues[i].jobs.pop_front()?;
         Some((i, job))
     }
 
     /// Tells whether the job of the last turn was placed.
-    pub(crate) fn settle(&mut self, i: usize, placed: bool) {
-        self.lines[i].running += u32::from(placed);
-        self.queue(i);
+    pub(crate) fn record_result(&mut self, i: usize, placed: bool) {
+        self.queues[i].running += u32::from(placed);
+        self.requeue(i);
     }
 
-    /// Takes the lines apart again, for a next class of jobs.
-    pub(crate) fn into_running(self) -> impl Iterator<Item = (TeamId, u32)> {
-        self.lines.into_iter().map(|line| (line.team, line.running))
+    /// Takes the queues apart again, for a next class of jobs.
+    pub(crate) fn into_running_counts(self) -> impl Iterator<Item = (TeamId, u32)> {
+        self.queues
+            .into_iter()
+            .map(|queue| (queue.team, queue.running))
     }
 
-    fn queue(&mut self, i: usize) {
-        let line = &self.lines[i];
-        if line.jobs.is_empty() || line.running >= line.limit {
+    fn requeue(&mut self, i: usize) {
+        let queue = &self.queues[i];
+        if queue.jobs.is_empty() || queue.running >= queue.limit {
             return;
         }
-        let key = u64::from(line.running) * SCALE / u64::from(line.share.max(1));
+        let key = u64::from(queue.running) * SCALE / u64::from(queue.share.max(1));
         self.heap.push(Reverse((key, i)));
     }
 }
--- a/crates/scheduling/src/lead.rs
+++ b/crates/scheduling/src/leader.rs
@@ -5,6 +5,6 @@
 /// Whether `own` plans, among itself and the `peers` that it hears.
 ///
 /// Only spares double work: what holds is settled by the log.
-pub fn leads(own: &EntryId, peers: &[EntryId]) -> bool {
+pub fn is_leader(own: &EntryId, peers: &[EntryId]) -> bool {
     peers.iter().all(|peer| own <= peer)
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -3,16 +3,16 @@
 //! Decides only. Its placements are proposals: the fold of the log judges them again, so two
 //! planners at work at once cost a refused record and nothing else.
 
-mod lead;
-mod load;
+mod fair_queue;
+mod leader;
 mod planner;
+mod pool_capacity;
 mod proposal;
-mod rooms;
-mod sizes;
-mod turns;
+mod size_estimates;
+mod worker;
 
-pub use lead::leads;
-pub use load::{Slot, WorkerLife};
-pub use planner::{Planner, Weights};
+pub use leader::is_leader;
+pub use planner::{Limits, Planner};
 pub use proposal::Proposal;
-pub use sizes::Sizes;
+pub use size_estimates::SizeEstimates;
+pub use worker::{Candidate, LiveWorker};
--- a/crates/scheduling/src/planner.rs
+++ b/crates/scheduling/src/planner.rs
@@ -6,28 +6,28 @@
 use cactuswheel_fleet::{Job, JobPhase, State};
 use cactuswheel_model::{InstanceId, JobId, Map, PoolId, Retry, Room, Set, TeamId, Time};
 
-use crate::rooms::Rooms;
-use crate::turns::{Line, Turns};
-use crate::{Proposal, Sizes, Slot, WorkerLife};
+use crate::fair_queue::{FairQueue, TeamQueue};
+use crate::pool_capacity::PoolCapacity;
+use crate::{Candidate, LiveWorker, Proposal, SizeEstimates};
 
 /// Time that a stopped job has to leave before another is stopped for the same urgent one.
-const PATIENCE: Duration = Duration::from_secs(5);
+const PREEMPTION_GRACE: Duration = Duration::from_secs(5);
 
 /// Settings of placement.
 #[derive(Debug, Clone, Copy)]
-pub struct Weights {
+pub struct Limits {
     /// Most placements in one round; the rest waits for the next.
-    pub round: usize,
+    pub placements: usize,
     /// Most preemptions in one round.
-    pub preempt: usize,
+    pub preemptions: usize,
 }
 
 /// Places waiting jobs.
 #[derive(Debug, Default)]
 pub struct Planner {
-    weights: Weights,
+    limits: Limits,
     /// What jobs really take up.
-    pub sizes: Sizes,
+    pub estimates: SizeEstimates,
     /// Urgent jobs for which another one was stopped, and when.
     preempted: Map<JobId, Time>,
 }
@@ -35,20 +35,20 @@
 /// Jobs that wait, by team, oldest first.
 type Waiting = BTreeMap<TeamId, VecDeque<JobId>>;
 
-impl Default for Weights {
+impl Default for Limits {
     fn default() -> Self {
         Self {
-            round: 500,
-            preempt: 10,
+            placements: 500,
+            preemptions: 10,
         }
     }
 }
 
 impl Planner {
     /// A planner with settings.
-    pub fn new(weights: Weights) -> Self {
+    pub fn new(limits: Limits) -> Self {
         Self {
-            weights,
+            limits,
             ..Self::default()
         }
     }
@@ -58,55 +58,60 @@
         &mut self,
         now: Time,
         state: &State,
-        live: &[WorkerLife],
+        live: &[LiveWorker],
         drained: &Set<InstanceId>,
     ) -> Vec<Proposal> {
-        let (urgent, ordinary) = waiting(state);
+        let (urgent, ordinary) = waiting_jobs(state);
         if urgent.is_empty() && ordinary.is_empty() {
             return Vec::new();
         }
-        let mut rooms = rooms(state, live, drained);
+        let mut capacity = free_capacity(state, live, drained);
         let mut running = Map::default();
         let mut proposals = Vec::new();
-        let missed = self.serve(state, urgent, &mut rooms, &mut running, &mut proposals);
-        self.preempt(now, state, &missed, &mut proposals);
-        self.serve(state, ordinary, &mut rooms, &mut running, &mut proposals);
+        let unplaced = self.place_all(state, urgent, &mut capacity, &mut running, &mut proposals);
+        self.preempt(now, state, &unplaced, &mut proposals);
+        self.place_all(state, ordinary, &mut capacity, &mut running, &mut proposals);
         proposals
     }
 
     /// Places one class of jobs in fair turns; the jobs that found no room.
-    fn serve(
+    fn place_all(
         &self,
         state: &State,
         waiting: Waiting,
-        rooms: &mut Map<PoolId, Rooms>,
+        capacity: &mut Map<PoolId, PoolCapacity>,
         running: &mut Map<TeamId, u32>,
         proposals: &mut Vec<Proposal>,
     ) -> Vec<JobId> {
-        let mut missed = Vec::new();
-        let mut turns = Turns::default();
+        let mut unplaced = Vec::new();
+        let mut queue = FairQueue::default();
         for (team, jobs) in waiting {
-            turns.push(line(state, team, jobs, running));
+            queue.push(team_queue(state, team, jobs, running));
         }
-        while proposals.len() < self.weights.round {
-            let Some((i, id)) = turns.next() else { break };
-            let proposal = self.place(state, &id, rooms);
-            turns.settle(i, proposal.is_some());
+        while proposals.len() < self.limits.placements {
+            let Some((i, id)) = queue.next() else { break };
+            let proposal = self.place(state, &id, capacity);
+            queue.record_result(i, proposal.is_some());
             match proposal {
                 Some(proposal) => proposals.push(proposal),
-                None => missed.push(id),
+                None => unplaced.push(id),
             }
         }
-        running.extend(turns.into_running());
-        missed
+        running.extend(queue.into_running_counts());
+        unplaced
     }
 
-    fn place(&self, state: &State, id: &JobId, rooms: &mut Map<PoolId, Rooms>) -> Option<Proposal> {
+    fn place(
+        &self,
+        state: &State,
+        id: &JobId,
+        capacity: &mut Map<PoolId, PoolCapacity>,
+    ) -> Option<Proposal> {
         let job = state.jobs().get(id)?;
-        let rooms = rooms.get_mut(&job.spec.pool)?;
-        let room = self.room(id, job, rooms);
-        let slot = rooms.take(room, &job.failed)?;
-        let worker = slot.life.clone();
+        let capacity = capacity.get_mut(&job.spec.pool)?;
+        let room = self.room_to_reserve(id, job, capacity);
+        let candidate = capacity.reserve(room, &job.failed)?;
+        let worker = candidate.live_worker.clone();
         Some(Proposal::Place {
             job: id.clone(),
             attempt: job.attempt.next(),
@@ -116,9 +121,11 @@
     }
 
     /// What to set aside: corrected by experience where that fits a worker at all.
-    fn room(&self, id: &JobId, job: &Job, rooms: &Rooms) -> Room {
-        let room = self.sizes.room(&id.team, &job.spec, rooms.largest());
-        if rooms.holds(room) {
+    fn room_to_reserve(&self, id: &JobId, job: &Job, capacity: &PoolCapacity) -> Room {
+        let room = self
+            .estimates
+            .estimate(&id.team, &job.spec, capacity.largest());
+        if capacity.fits_empty(room) {
             room
         } else {
             job.spec.room
@@ -133,23 +140,26 @@
         &mut self,
         now: Time,
         state: &State,
-        missed: &[JobId],
+        unplaced: &[JobId],
         proposals: &mut Vec<Proposal>,
     ) {
-        self.preempted.retain(|_, at| now.since(*at) < PATIENCE);
-        if missed.is_empty() {
+        self.preempted
+            .retain(|_, at| now.since(*at) < PREEMPTION_GRACE);
+        if unplaced.is_empty() {
             return;
         }
         let mut victims: Vec<_> = state.jobs().iter().filter(|(_, j)| is_victim(j)).collect();
         // The team that is furthest over its share gives first.
-        victims.sort_by_key(|(id, _)| load(state, &id.team));
-        let wanted = missed.iter().filter(|id| !self.preempted.contains_key(*id));
-        let wanted: Vec<_> = wanted.take(self.weights.preempt).collect();
+        victims.sort_by_key(|(id, _)| load_per_share(state, &id.team));
+        let wanted = unplaced
+            .iter()
+            .filter(|id| !self.preempted.contains_key(*id));
+        let wanted: Vec<_> = wanted.take(self.limits.preemptions).collect();
         for waiting in wanted {
             let Some(urgent) = state.jobs().get(waiting) else {
                 continue;
             };
-            let at = victims.iter().rposition(|(_, v)| frees(v, urgent));
+            let at = victims.iter().rposition(|(_, v)| frees_enough(v, urgent));
             let Some(at) = at else { continue };
             let (job, victim) = victims.remove(at);
             let (job, waiting) = (job.clone(), waiting.clone());
@@ -163,7 +173,7 @@
     }
 }
 
-fn waiting(state: &State) -> (Waiting, Waiting) {
+fn waiting_jobs(state: &State) -> (Waiting, Waiting) {
     let mut queued: Vec<_> = state
         .jobs()
         .iter()
@@ -185,41 +195,53 @@
     (urgent, ordinary)
 }
 
-fn rooms(state: &State, live: &[WorkerLife], drained: &Set<InstanceId>) -> Map<PoolId, Rooms> {
-    let mut rooms: Map<PoolId, Rooms> = Map::default();
-    for life in live.iter().filter(|life| !drained.contains(&life.id)) {
-        let Some(slot) = slot(state, life) else {
+fn free_capacity(
+    state: &State,
+    live: &[LiveWorker],
+    drained: &Set<InstanceId>,
+) -> Map<PoolId, PoolCapacity> {
+    let mut capacity: Map<PoolId, PoolCapacity> = Map::default();
+    for live_worker in live.iter().filter(|w| !drained.contains(&w.id)) {
+        let Some(candidate) = candidate(state, live_worker) else {
             continue;
         };
-        rooms.entry(slot.pool.clone()).or_default().push(slot);
+        capacity
+            .entry(candidate.pool.clone())
+            .or_default()
+            .push(candidate);
     }
-    rooms
+    capacity
 }
 
 /// The worker's free room; none if it takes no work.
-fn slot(state: &State, life: &WorkerLife) -> Option<Slot> {
-    let instance = state.config().instances.get(&life.id)?;
-    let whole = Room::of(instance);
-    let load = state.jobs().worker(&life.id);
+fn candidate(state: &State, live_worker: &LiveWorker) -> Option<Candidate> {
+    let instance = state.config().instances.get(&live_worker.id)?;
+    let total = Room::of(instance);
+    let load = state.jobs().worker(&live_worker.id);
     if load.is_some_and(|w| !w.accepts_work()) {
         return None;
     }
-    Some(Slot {
-        life: life.clone(),
+    Some(Candidate {
+        live_worker: live_worker.clone(),
         pool: instance.pool.clone(),
-        free: whole - load.map_or(Room::default(), |w| w.used),
-        whole,
+        free: total - load.map_or(Room::default(), |w| w.used),
+        total,
         probe: load.is_some_and(|w| w.is_suspect()),
     })
 }
 
-fn line(state: &State, team: TeamId, jobs: VecDeque<JobId>, running: &Map<TeamId, u32>) -> Line {
+fn team_queue(
+    state: &State,
+    team: TeamId,
+    jobs: VecDeque<JobId>,
+    running: &Map<TeamId, u32>,
+) -> TeamQueue {
     let known = state.config().teams.get(&team);
     let share = known.map_or(0, |t| t.share.get());
     let limit = known.map_or(0, |t| t.jobs.get().min(t.limit.get()));
     let running = running.get(&team).copied();
     let running = running.unwrap_or_else(|| state.jobs().placed(&team));
-    Line {
+    TeamQueue {
         team,
         jobs,
         share,
@@ -233,7 +255,7 @@
     placed && !job.spec.urgent && !job.cancel && job.spec.retry == Retry::Resume
 }
 
-fn frees(victim: &Job, urgent: &Job) -> bool {
+fn frees_enough(victim: &Job, urgent: &Job) -> bool {
     let JobPhase::Placed { room, .. } = &victim.phase else {
         return false;
     };
@@ -241,7 +263,7 @@
 }
 
 /// Running jobs per share, scaled to whole numbers.
-fn load(state: &State, team: &TeamId) -> u64 {
+fn load_per_share(state: &State, team: &TeamId) -> u64 {
     let share = state
         .config()
         .teams
--- a/crates/scheduling/src/proposal.rs
+++ b/crates/scheduling/src/proposal.rs
@@ -2,7 +2,7 @@
 
 use cactuswheel_model::{Attempt, JobEvent, JobId, Room};
 
-use crate::WorkerLife;
+use crate::LiveWorker;
 
 /// One step for one job.
 #[derive(Debug, Clone)]
@@ -14,7 +14,7 @@
         /// The attempt.
         attempt: Attempt,
         /// Where.
-        worker: WorkerLife,
+        worker: LiveWorker,
         /// What is set aside.
         room: Room,
     },
--- a/crates/scheduling/src/load.rs
+++ b/crates/scheduling/src/worker.rs
@@ -4,7 +4,7 @@
 
 /// A worker that is seen live, and which of its lives it is in.
 #[derive(Debug, Clone)]
-pub struct WorkerLife {
+pub struct LiveWorker {
     /// The worker.
     pub id: InstanceId,
     /// Its life.
@@ -13,15 +13,15 @@
 
 /// A worker that takes jobs, with the room that is free on it.
 #[derive(Debug, Clone)]
-pub struct Slot {
+pub struct Candidate {
     /// The worker's life.
-    pub life: WorkerLife,
+    pub live_worker: LiveWorker,
     /// Its pool.
     pub pool: PoolId,
     /// What is free.
     pub free: Room,
     /// All that it has.
-    pub whole: Room,
+    pub total: Room,
     /// Whether it takes a single job only, to be tried out.
     pub probe: bool,
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -5,7 +5,7 @@
 use bpaf::Bpaf;
 use cactuswheel_http::Call;
 use cactuswheel_model::{Incarnation, InstanceId};
-use cactuswheel_platform::{Presence, Sighting};
+use cactuswheel_platform::{Presence, RosterEntry};
 use cactuswheel_standin::{Platform, Upstream};
 use tokio::net::TcpListener;
 
@@ -58,7 +58,7 @@
                 Some(slots) => upstream.with_slots(slots),
                 None => upstream,
             };
-            let sighting = Sighting {
+            let sighting = RosterEntry {
                 id,
                 incarnation,
                 addr,
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_http::{Reply, json, read_json, serve, text};
 use cactuswheel_model::{Incarnation, InstanceId, Offset};
-use cactuswheel_platform::{Appended, Sighting, TaskReport};
+use cactuswheel_platform::{Appended, RosterEntry, TaskReport};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use tokio::net::TcpListener;
@@ -77,7 +77,7 @@
     }
 
     /// Lists an instance, or changes how it is listed.
-    pub fn list(&self, sighting: Sighting) {
+    pub fn list(&self, sighting: RosterEntry) {
         self.lock().roster.insert(sighting.id.clone(), sighting);
     }
 
@@ -189,7 +189,7 @@
     }
 
     async fn set_roster(&self, request: Request<Incoming>) -> Reply {
-        match read_json::<Sighting>(request.into_body()).await {
+        match read_json::<RosterEntry>(request.into_body()).await {
             Ok(sighting) => self.list(sighting),
             Err(e) => return text(StatusCode::BAD_REQUEST, e),
         }
--- a/crates/standin/src/roster.rs
+++ b/crates/standin/src/roster.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use cactuswheel_model::InstanceId;
-use cactuswheel_platform::{Changes, Sighting};
+use cactuswheel_platform::{RosterChanges, RosterEntry};
 
 /// Changes remembered; whoever is further behind gets the whole list.
 const KEPT: usize = 10_000;
@@ -12,7 +12,7 @@
 /// Instances, and the names of those that changed since a version.
 #[derive(Debug)]
 pub(crate) struct Roster {
-    rows: BTreeMap<InstanceId, Sighting>,
+    rows: BTreeMap<InstanceId, RosterEntry>,
     /// Names in the order of their changes.
     ///
     /// Invariant: the last one is change number `count`.
@@ -37,12 +37,12 @@
 
 impl Roster {
     /// How an instance is listed.
-    pub(crate) fn get(&self, id: &InstanceId) -> Option<&Sighting> {
+    pub(crate) fn get(&self, id: &InstanceId) -> Option<&RosterEntry> {
         self.rows.get(id)
     }
 
     /// Lists an instance.
-    pub(crate) fn insert(&mut self, id: InstanceId, sighting: Sighting) {
+    pub(crate) fn insert(&mut self, id: InstanceId, sighting: RosterEntry) {
         if self.rows.get(&id) != Some(&sighting) {
             self.note(id.clone());
             self.rows.insert(id, sighting);
@@ -50,18 +50,18 @@
     }
 
     /// Drops an instance from the list.
-    pub(crate) fn remove(&mut self, id: &InstanceId) -> Option<Sighting> {
+    pub(crate) fn remove(&mut self, id: &InstanceId) -> Option<RosterEntry> {
         let sighting = self.rows.remove(id)?;
         self.note(id.clone());
         Some(sighting)
     }
 
     /// What changed since a version, or the whole list if that is not known any more.
-    pub(crate) fn changes(&self, since: &str) -> Changes {
+    pub(crate) fn changes(&self, since: &str) -> RosterChanges {
         let version = format!("{:x}-{}", self.start, self.count);
         let Some(news) = self.since(since) else {
             let listed = self.rows.values().cloned().collect();
-            return Changes {
+            return RosterChanges {
                 version,
                 whole: true,
                 listed,
@@ -78,7 +78,7 @@
             .into_iter()
             .filter_map(|id| self.rows.get(id).cloned());
         let gone = gone.into_iter().cloned().collect();
-        Changes {
+        RosterChanges {
             version,
             whole: false,
             listed: listed.collect(),
--- a/crates/standin/src/tasks.rs
+++ b/crates/standin/src/tasks.rs
@@ -6,7 +6,7 @@
 
 use cactuswheel_http::{Reply, read_json, text};
 use cactuswheel_model::{AttemptEnd, Cores, InstanceId, Room};
-use cactuswheel_platform::{TaskId, TaskNews, TaskOrder, TaskReport};
+use cactuswheel_platform::{TaskEvent, TaskId, TaskOrder, TaskReport};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -120,7 +120,7 @@
                 stop: true,
             };
             inner.tasks.insert(task.clone(), watch::channel(told).0);
-            let news = TaskNews::Ended(AttemptEnd::Refused);
+            let news = TaskEvent::Ended(AttemptEnd::Refused);
             platform.report(&TaskReport { task, news });
         }
         StatusCode::OK
@@ -158,17 +158,17 @@
     } else {
         Cores::new(script.cores)
     };
-    tell(TaskNews::Usage(Room {
+    tell(TaskEvent::Usage(Room {
         cores,
         ..order.room
     }));
     if end == AttemptEnd::Stopped && script.checkpoint {
-        tell(TaskNews::Checkpoint(format!(
+        tell(TaskEvent::Checkpoint(format!(
             "after attempt {}",
             order.task.attempt
         )));
     }
-    tell(TaskNews::Ended(end));
+    tell(TaskEvent::Ended(end));
 }
 
 /// Works until the end, a stop, or the end of the lease.
--- a/crates/standin/src/worker_routes.rs
+++ b/crates/standin/src/worker_routes.rs
@@ -2,7 +2,7 @@
 
 use cactuswheel_http::{Call, Reply, json, read_json, text};
 use cactuswheel_model::InstanceId;
-use cactuswheel_platform::Order;
+use cactuswheel_platform::WorkerOrder;
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use tokio::time::sleep;
@@ -67,7 +67,7 @@
     }
 
     async fn fenced_order(&self, id: InstanceId, what: &str, request: Request<Incoming>) -> Reply {
-        let order: Order = match read_json(request.into_body()).await {
+        let order: WorkerOrder = match read_json(request.into_body()).await {
             Ok(order) => order,
             Err(e) => return text(StatusCode::BAD_REQUEST, e),
         };
@@ -83,7 +83,7 @@
         }
     }
 
-    async fn reboot(&self, id: &InstanceId, order: Order) -> Result<(), String> {
+    async fn reboot(&self, id: &InstanceId, order: WorkerOrder) -> Result<(), String> {
         let running = self.running(id).await;
         let back =
             self.with_control(|control, roster| control.reboot(id, order, running, roster))?;
