--- a/crates/scheduling/examples/plan_cost.rs
+++ b/crates/scheduling/examples/plan_cost.rs
@@ -1,4 +1,4 @@
-//! Prints what a round of placement and the records of jobs cost at several sizes.
+//! Prints the run time of a planning round and the cost of job records for several fleet sizes.
 //!
 //! `cargo run --release -p cactuswheel-scheduling --example plan_cost`
 
@@ -9,7 +9,7 @@
 use cactuswheel_scheduling::{LiveWorker, Planner, Proposal};
 use serde_json::{Value, json};
 
-/// Workers, pools and teams of each size; the last is the one designed for.
+/// Workers, pools and teams of each fleet size; the last is the design target.
 const SIZES: [(usize, usize, usize); 4] = [
     (50, 6, 6),
     (1_000, 10, 40),
@@ -17,13 +17,13 @@
     (8_700, 63, 160),
 ];
 
-/// Jobs that wait for each worker.
+/// Queued jobs per worker.
 const WAITING: usize = 2;
 
-/// Events in one record.
+/// Maximum number of events in one record.
 const BATCH: usize = 500;
 
-/// Rounds measured at each size.
+/// Planning rounds timed at each size.
 const ROUNDS: usize = 20;
 
 fn main() {
@@ -122,7 +122,8 @@
     }
 }
 
-/// Places until nothing fits, then ends half of what is placed, so that workers are part full.
+/// Places jobs until nothing more fits, then ends half of the placed jobs, so that the workers
+/// are partly occupied.
 fn drain(state: &mut State, planner: &mut Planner, live_workers: &[LiveWorker]) {
     loop {
         let placed = planner.plan(Time::new(0), state, live_workers, &Set::default());
--- a/crates/scheduling/src/fair_queue.rs
+++ b/crates/scheduling/src/fair_queue.rs
@@ -1,58 +1,59 @@
-//! Whose job is next.
+//! Weighted fair queuing of jobs between teams.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 use cactuswheel_model::{JobId, TeamId};
 
-/// Scale of a team's running work per share, so that whole numbers tell shares apart.
+/// Fixed-point scale of a team's running jobs per share. Without it, integer division would make
+/// teams with different shares compare equal.
 const SCALE: u64 = 1 << 20;
 
-/// One team's waiting jobs.
+/// The queue of one team.
 #[derive(Debug)]
 pub(crate) struct TeamQueue {
-    /// The team.
+    /// The team that the jobs belong to.
     pub(crate) team: TeamId,
-    /// Jobs that wait, oldest first.
+    /// Queued jobs, oldest first.
     pub(crate) jobs: VecDeque<JobId>,
-    /// Weight; 0 counts as the smallest there is.
+    /// The team's weight; 0 is treated as 1, the smallest weight.
     pub(crate) share: u32,
-    /// Jobs that run.
+    /// Number of placed jobs, including those placed in this round.
     pub(crate) running: u32,
-    /// Most jobs that may run.
+    /// Maximum number of placed jobs.
     pub(crate) limit: u32,
 }
 
-/// Gives turns so that running jobs come close to the teams' shares.
+/// Selects the next job so that the numbers of placed jobs approach the teams' shares.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     queues: Vec<TeamQueue>,
-    /// Running per share, and index into `queues`; the smallest has the next turn.
+    /// Placed jobs per share and index into `queues`, as a min-heap.
     heap: BinaryHeap<Reverse<(u64, usize)>>,
 }
 
 impl FairQueue {
-    /// Adds a team; one that waits for nothing or is at its limit gets no turn.
+    /// Adds a team. A team without queued jobs or at its limit is never selected.
     pub(crate) fn push(&mut self, queue: TeamQueue) {
         let i = self.queues.len();
         self.queues.push(queue);
         self.requeue(i);
     }
 
-    /// The next job, with the index of its queue.
+    /// Removes and returns the next job, with the index of its team's queue.
     pub(crate) fn next(&mut self) -> Option<(usize, JobId)> {
         let Reverse((_, i)) = self.heap.pop()?;
         let job = self.queues[i].jobs.pop_front()?;
         Some((i, job))
     }
 
-    /// Tells whether the job of the last turn was placed.
+    /// Records whether the job returned by [`next`](Self::next) from queue `i` was placed.
     pub(crate) fn record_result(&mut self, i: usize, placed: bool) {
         self.queues[i].running += u32::from(placed);
         self.requeue(i);
     }
 
-    /// Takes the queues apart again, for a next class of jobs.
+    /// The teams' numbers of placed jobs, as the starting point for the next class of jobs.
     pub(crate) fn into_running_counts(self) -> impl Iterator<Item = (TeamId, u32)> {
         self.queues
             .into_iter()
--- a/crates/scheduling/src/leader.rs
+++ b/crates/scheduling/src/leader.rs
@@ -1,10 +1,12 @@
-//! Which entry plans.
+//! Selection of the entry that runs the planner.
 
 use cactuswheel_model::EntryId;
 
-/// Whether `own` plans, among itself and the `peers` that it hears.
+/// Whether the entry `own` is the planning leader: its ID is the smallest among itself and the
+/// `peers` that it has contact with.
 ///
-/// Only spares double work: what holds is settled by the log.
+/// Leadership only avoids duplicate work. Two leaders at once are harmless, because the order
+/// of records in the log decides which placements take effect.
 pub fn is_leader(own: &EntryId, peers: &[EntryId]) -> bool {
     peers.iter().all(|peer| own <= peer)
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which waiting job goes to which worker.
+//! Scheduling: assigns queued jobs to workers.
 //!
-//! Decides only. Its placements are proposals: the fold of the log judges them again, so two
-//! planners at work at once cost a refused record and nothing else.
+//! This crate makes decisions only and has no side effects. Placements are proposals, which are
+//! validated again when the log record is applied to the state. If two planners run at the same
+//! time, the only cost is a refused record.
 
 mod fair_queue;
 mod leader;
--- a/crates/scheduling/src/planner.rs
+++ b/crates/scheduling/src/planner.rs
@@ -1,4 +1,4 @@
-//! One round of placement.
+//! The planner, which places queued jobs in rounds.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,29 +10,30 @@
 use crate::pool_capacity::PoolCapacity;
 use crate::{Candidate, LiveWorker, Proposal, SizeEstimates};
 
-/// Time that a stopped job has to leave before another is stopped for the same urgent one.
+/// Time that a preempted job has to free its resources before another job is preempted for the
+/// same urgent job.
 const PREEMPTION_GRACE: Duration = Duration::from_secs(5);
 
-/// Settings of placement.
+/// Limits of one planning round.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most placements in one round; the rest waits for the next.
+    /// Maximum number of placements; the remaining jobs wait for the next round.
     pub placements: usize,
-    /// Most preemptions in one round.
+    /// Maximum number of preemptions.
     pub preemptions: usize,
 }
 
-/// Places waiting jobs.
+/// Assigns queued jobs to workers.
 #[derive(Debug, Default)]
 pub struct Planner {
     limits: Limits,
-    /// What jobs really take up.
+    /// Estimates of the resources that jobs actually use.
     pub estimates: SizeEstimates,
-    /// Urgent jobs for which another one was stopped, and when.
+    /// Urgent jobs for which another job was preempted, with the time of the preemption.
     preempted: Map<JobId, Time>,
 }
 
-/// Jobs that wait, by team, oldest first.
+/// Queued jobs by team, oldest first.
 type Waiting = BTreeMap<TeamId, VecDeque<JobId>>;
 
 impl Default for Limits {
@@ -45,7 +46,7 @@
 }
 
 impl Planner {
-    /// A planner with settings.
+    /// Creates a planner with the given limits.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -53,7 +54,10 @@
         }
     }
 
-    /// One round over `state`, on the workers that are seen `live` and not `drained`.
+    /// Runs one planning round over `state`, using the workers that are `live` and not `drained`.
+    ///
+    /// Urgent jobs are placed first. Jobs are preempted for urgent jobs that do not fit, and then
+    /// ordinary jobs are placed.
     pub fn plan(
         &mut self,
         now: Time,
@@ -74,7 +78,8 @@
         proposals
     }
 
-    /// Places one class of jobs in fair turns; the jobs that found no room.
+    /// Places one class of jobs, sharing fairly between teams, and returns the jobs that did not
+    /// fit.
     fn place_all(
         &self,
         state: &State,
@@ -120,7 +125,8 @@
         })
     }
 
-    /// What to set aside: corrected by experience where that fits a worker at all.
+    /// The resources to reserve: the estimate if it fits an empty worker of the pool, otherwise
+    /// the declared size.
     fn room_to_reserve(&self, id: &JobId, job: &Job, capacity: &PoolCapacity) -> Room {
         let room = self
             .estimates
@@ -132,10 +138,10 @@
         }
     }
 
-    /// Stops jobs that can be resumed, one for each urgent job that found no room.
+    /// Preempts resumable jobs, one for each urgent job that did not fit.
     ///
-    /// Failure: with every worker full of long jobs an urgent one would wait for hours. A job
-    /// that can be resumed loses only what it did since its last checkpoint.
+    /// Without preemption, an urgent job would wait for hours while long jobs occupy every
+    /// worker. A resumable job loses only its progress since the last checkpoint.
     fn preempt(
         &mut self,
         now: Time,
@@ -149,7 +155,7 @@
             return;
         }
         let mut victims: Vec<_> = state.jobs().iter().filter(|(_, j)| is_victim(j)).collect();
-        // The team that is furthest over its share gives first.
+        // Jobs of the team with the most placed jobs per share are preempted first.
         victims.sort_by_key(|(id, _)| load_per_share(state, &id.team));
         let wanted = unplaced
             .iter()
@@ -213,7 +219,7 @@
     capacity
 }
 
-/// The worker's free room; none if it takes no work.
+/// The worker with its free resources; `None` if it is unknown or accepts no jobs.
 fn candidate(state: &State, live_worker: &LiveWorker) -> Option<Candidate> {
     let instance = state.config().instances.get(&live_worker.id)?;
     let total = Room::of(instance);
@@ -262,7 +268,7 @@
     victim.spec.pool == urgent.spec.pool && urgent.spec.room.fits(*room)
 }
 
-/// Running jobs per share, scaled to whole numbers.
+/// The team's placed jobs per 1,000 shares, rounded down.
 fn load_per_share(state: &State, team: &TeamId) -> u64 {
     let share = state
         .config()
--- a/crates/scheduling/src/pool_capacity.rs
+++ b/crates/scheduling/src/pool_capacity.rs
@@ -1,4 +1,4 @@
-//! Free room of one pool, ordered for best fit.
+//! Free resources of one pool, indexed for best-fit placement.
 
 use std::collections::BTreeSet;
 
@@ -6,28 +6,30 @@
 
 use crate::Candidate;
 
-/// Workers looked at for one job beyond the first that has the cores.
+/// Maximum number of workers with enough free cores that a search examines in each direction.
 const MAX_CANDIDATES: usize = 64;
 
-/// Workers by free cores.
+/// The workers of a pool, ordered by free cores.
 #[derive(Debug, Default)]
 pub(crate) struct PoolCapacity {
     candidates: Vec<Candidate>,
     /// Free cores and index into `candidates`.
     ///
-    /// Invariant: holds exactly the candidates that still take work.
+    /// Invariant: contains exactly the candidates that still accept jobs.
     order: BTreeSet<(Cores, usize)>,
-    /// The largest worker's size in each kind of resource.
+    /// The maximum cores and the maximum memory of any worker, not necessarily of the same one.
     largest: Room,
-    /// Rooms that were not found; free room only shrinks, so nothing as large is either.
+    /// Requests for which no worker was found. Free resources only shrink during a round, so a
+    /// request that is at least as large fails too.
     ///
-    /// Failure: without it a long queue of large jobs is looked up one by one each round, and
-    /// a bound on those looks lets them hide the small jobs behind them for good.
+    /// Without this list, every job in a long queue of large jobs would be searched for in each
+    /// round. Limiting the number of searches instead would let large jobs block the small jobs
+    /// behind them permanently.
     unavailable: Vec<Room>,
 }
 
 impl PoolCapacity {
-    /// Adds a worker.
+    /// Adds a worker to the pool.
     pub(crate) fn push(&mut self, candidate: Candidate) {
         self.order
             .insert((candidate.free.cores, self.candidates.len()));
@@ -36,20 +38,23 @@
         self.candidates.push(candidate);
     }
 
-    /// The largest worker's cores and memory.
+    /// The maximum cores and the maximum memory of any worker in the pool.
     pub(crate) fn largest(&self) -> Room {
         self.largest
     }
 
-    /// Whether any worker is large enough when empty.
+    /// Whether any worker could run a job of this size if no other job were placed on it.
     pub(crate) fn fits_empty(&self, room: Room) -> bool {
         self.candidates.iter().any(|s| room.fits(s.total))
     }
 
-    /// Takes room on the worker with the fewest cores to spare, none of `avoid`.
+    /// Reserves resources on the worker with the fewest free cores that fits the job and is not
+    /// in `avoid`.
     ///
-    /// A job with accelerators and a job with much memory may have to look further than the
-    /// workers that fit by cores; the look is bounded, the rest is looked at next round.
+    /// Workers with enough cores may lack the memory or accelerators. The search therefore
+    /// continues past them: first from the fewest free cores upwards, then from the most free
+    /// cores downwards, each for at most [`MAX_CANDIDATES`] workers. A job for which neither
+    /// direction finds a worker is tried again in the next round.
     pub(crate) fn reserve(&mut self, room: Room, avoid: &[InstanceId]) -> Option<&Candidate> {
         if self.unavailable.iter().any(|u| u.fits(room)) {
             return None;
--- a/crates/scheduling/src/proposal.rs
+++ b/crates/scheduling/src/proposal.rs
@@ -1,38 +1,39 @@
-//! What a planner proposes.
+//! The planner's output.
 
 use cactuswheel_model::{Attempt, JobEvent, JobId, Room};
 
 use crate::LiveWorker;
 
-/// One step for one job.
+/// A proposed action for one job.
 #[derive(Debug, Clone)]
 pub enum Proposal {
-    /// Place the job's next attempt.
+    /// Place the job's next attempt on a worker.
     Place {
-        /// The job.
+        /// The job to place.
         job: JobId,
-        /// The attempt.
+        /// The number of the new attempt.
         attempt: Attempt,
-        /// Where.
+        /// The worker that runs the attempt.
         worker: LiveWorker,
-        /// What is set aside.
+        /// Resources to reserve on the worker.
         room: Room,
     },
-    /// Stop a job that can be resumed, so that an urgent one finds room.
+    /// Stop a resumable job to free resources for an urgent job.
     Preempt {
         /// The job to stop.
         job: JobId,
-        /// Its attempt.
+        /// The attempt to stop.
         attempt: Attempt,
-        /// The urgent job.
+        /// The urgent job that is waiting for resources.
         waiting: JobId,
     },
 }
 
 impl Proposal {
-    /// The event to append, if the proposal is one for the log.
+    /// The event to append to the log; `None` for a preemption.
     ///
-    /// A preemption is carried out at the worker first; the log hears how it ended.
+    /// A preemption is a stop order to the worker. The log gets an event only when the worker
+    /// reports how the attempt ended.
     pub fn event(&self) -> Option<JobEvent> {
         let Self::Place {
             job,
--- a/crates/scheduling/src/size_estimates.rs
+++ b/crates/scheduling/src/size_estimates.rs
@@ -1,23 +1,23 @@
-//! What jobs really take up.
+//! Estimates of the resources that jobs actually use.
 
 use cactuswheel_model::{Cores, JobSpec, Map, Mebibytes, Room, TeamId};
 
-/// Weight of the newest report, in percent.
+/// Weight of the newest usage report in the moving average, in percent.
 const NEWEST_WEIGHT: u64 = 20;
 
-/// Smallest and largest correction of a declared size, in percent.
+/// Lower and upper bound of the ratio of used to declared resources, in percent.
 const RATIO_BOUNDS: (u64, u64) = (25, 400);
 
-/// Corrects declared sizes by each team's experience.
+/// Corrects declared job sizes by the usage that was observed for each team.
 ///
-/// Lost when the entry is replaced, and learnt again: a wrong size costs room or speed, not
-/// correctness.
+/// The estimates are kept in memory only and are learnt again after the entry is replaced. A
+/// wrong estimate wastes resources or slows jobs down, but does not affect correctness.
 #[derive(Debug, Default)]
 pub struct SizeEstimates {
     teams: Map<TeamId, Ratios>,
 }
 
-/// Used per declared, in percent.
+/// Moving averages of a team's used resources relative to the declared ones, in percent.
 #[derive(Debug, Clone, Copy)]
 struct Ratios {
     cores: u64,
@@ -25,7 +25,7 @@
 }
 
 impl SizeEstimates {
-    /// Learns from the most that an attempt took up.
+    /// Updates the team's estimate with the peak usage of an attempt.
     pub fn record_usage(&mut self, team: &TeamId, declared: Room, used: Room) {
         let ratios = self.teams.entry(team.clone()).or_insert(Ratios {
             cores: 100,
@@ -36,8 +36,10 @@
         ratios.memory = blend(ratios.memory, declared.memory.get(), used.memory.get());
     }
 
-    /// The room to set aside for a job: at most `largest`, so that a correction never makes a
-    /// job that fits look as if it did not.
+    /// The resources to reserve for a job.
+    ///
+    /// A correction raises the reservation to at most the size of the `largest` worker, so that
+    /// a job whose declared size fits a worker still fits after the correction.
     pub fn estimate(&self, team: &TeamId, spec: &JobSpec, largest: Room) -> Room {
         let declared = spec.room;
         let Some(ratios) = self.teams.get(team) else {
--- a/crates/scheduling/src/worker.rs
+++ b/crates/scheduling/src/worker.rs
@@ -1,27 +1,28 @@
-//! Workers as a planner sees them.
+//! Workers as input to the planner.
 
 use cactuswheel_model::{Incarnation, InstanceId, PoolId, Room};
 
-/// A worker that is seen live, and which of its lives it is in.
+/// A worker that the roster lists as live, with its current incarnation.
 #[derive(Debug, Clone)]
 pub struct LiveWorker {
-    /// The worker.
+    /// The instance that the worker runs on.
     pub id: InstanceId,
-    /// Its life.
+    /// Its incarnation, which increases with each reboot.
     pub incarnation: Incarnation,
 }
 
-/// A worker that takes jobs, with the room that is free on it.
+/// A worker that accepts jobs, with its free resources.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// The worker's life.
+    /// The worker and its incarnation.
     pub live_worker: LiveWorker,
-    /// Its pool.
+    /// The pool that the worker belongs to.
     pub pool: PoolId,
-    /// What is free.
+    /// Resources that are not reserved by placed jobs.
     pub free: Room,
-    /// All that it has.
+    /// All resources of the worker.
     pub total: Room,
-    /// Whether it takes a single job only, to be tried out.
+    /// Whether the worker is suspected of failing its jobs and gets a single job at a time as a
+    /// probe.
     pub probe: bool,
 }
--- a/crates/scheduling/tests/races.rs
+++ b/crates/scheduling/tests/races.rs
@@ -1,4 +1,5 @@
-//! Two planners with stale views, one log, and workers that reboot: what the workers see.
+//! Races between two planners with stale views of the same log and workers that reboot,
+//! checked by what runs on the workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,18 +11,18 @@
 use cactuswheel_testkit::{Rng, check};
 use serde_json::json;
 
-/// Steps of one history.
+/// Number of steps in one history.
 const STEPS: u32 = 300;
 
-/// Jobs of a team that may be placed at once.
+/// Maximum number of placed jobs per team.
 const LIMIT: usize = 2;
 
-/// Cores of a worker.
+/// Cores per worker.
 const CORES: u32 = 6;
 
 type Task = (JobId, Attempt);
 
-/// A start that is on its way to a worker; it may arrive late, and again.
+/// A start order in flight to a worker. It may arrive late or more than once.
 #[derive(Clone)]
 struct Order {
     task: Task,
@@ -33,12 +34,12 @@
 #[derive(Default)]
 struct Worker {
     incarnation: Incarnation,
-    /// Attempts that this life has started.
+    /// Attempts that this incarnation of the worker has started.
     seen: BTreeSet<Task>,
     running: BTreeMap<Task, Room>,
 }
 
-/// The log's state, what two planners have read of it, and the workers.
+/// The current state, the possibly stale views of two planners, and the workers.
 struct World {
     state: State,
     views: [State; 2],
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Hands a start to its worker; every third one stays on its way and arrives again.
+    /// Delivers a start order to its worker. One in three stays in flight and is delivered again.
     fn deliver(&mut self, pick: usize) {
         if self.orders.is_empty() {
             return;
@@ -168,7 +169,7 @@
         self.reports.push(JobEvent::End { job, attempt, end });
     }
 
-    /// Takes a report over; every third one comes again.
+    /// Appends a report to the log. One in three is kept and reported again.
     fn report(&mut self, pick: usize) {
         if self.reports.is_empty() {
             return;
@@ -188,7 +189,8 @@
         worker.seen.clear();
     }
 
-    /// A node with a stale view reports attempts whose worker is in a later life.
+    /// Reports attempts as lost whose worker has rebooted since, according to the stale view of
+    /// `node`.
     fn report_lost(&mut self, node: usize) {
         let lost = |(id, job): (&JobId, &std::sync::Arc<Job>)| {
             let JobPhase::Placed {
@@ -211,7 +213,7 @@
         self.append(events);
     }
 
-    /// What the workers see, not what the log says.
+    /// Whether the invariants hold for what runs on the workers, independently of the log.
     fn invariants_hold(&self) -> bool {
         let mut teams: BTreeMap<&str, usize> = BTreeMap::new();
         let mut jobs = BTreeSet::new();
@@ -234,7 +236,7 @@
                 .all(|(id, n)| self.starts_allowed(id, *n))
     }
 
-    /// A job that may not be repeated was started at most once.
+    /// Whether the number of starts is allowed: a job with retry `never` starts at most once.
     fn starts_allowed(&self, id: &JobId, starts: u32) -> bool {
         let job = self.state.jobs().get(id).unwrap();
         job.spec.retry != cactuswheel_model::Retry::Never || starts <= 1
@@ -243,9 +245,9 @@
 
 #[test]
 fn any_history() {
-    // Two entries plan at once from views of different age, starts and reports come late and
-    // twice, workers reboot. At the workers no job runs twice at once, none that may not be
-    // repeated starts twice, no worker is overfull and no team is over its limit.
+    // Two entries plan concurrently from views of different age, start orders and reports arrive
+    // late and twice, and workers reboot. Despite that, no job runs twice at the same time, no
+    // job with retry `never` starts twice, no worker exceeds its cores and no team its limit.
     fn property(seed: u64) -> bool {
         let (mut world, mut rng) = (World::new(), Rng::new(seed));
         (0..STEPS).all(|_| {
--- a/crates/scheduling/tests/rounds.rs
+++ b/crates/scheduling/tests/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of placement, by example and over drawn fleets.
+//! Planning rounds, on example fleets and on randomly generated ones.
 
 use cactuswheel_fleet::{Applied, JobPhase, State};
 use cactuswheel_model::{Code, Incarnation, JobEvent, Record, Set, Time};
@@ -19,7 +19,8 @@
     }
 }
 
-/// Teams `t0`.. with these shares, and workers `w0`.. with these cores.
+/// A fleet of teams `t0`, `t1`, ... with these shares and workers `w0`, `w1`, ... with these
+/// numbers of cores.
 fn fleet(shares: &[u32], cores: &[u32]) -> State {
     let mut state = State::default();
     let mut changes = vec![
@@ -56,7 +57,7 @@
         .collect()
 }
 
-/// Plans and appends the placements; how many there were.
+/// Runs one planning round, appends the placements and returns their number.
 fn round(state: &mut State, planner: &mut Planner) -> usize {
     let proposals = planner.plan(NOW, state, &live(state), &Set::default());
     let events: Vec<JobEvent> = proposals.iter().filter_map(Proposal::event).collect();
@@ -92,8 +93,8 @@
 
 #[test]
 fn preempted_once() {
-    // Every worker is full of long jobs when an urgent one comes. One long job with a
-    // checkpoint is told to stop, and not a second one while the first is on its way out.
+    // All workers are full of long jobs when an urgent job arrives. One resumable job is
+    // preempted for it, and no second one while the first has not yet stopped.
     let mut state = fleet(&[1, 1], &[4, 4]);
     let mut planner = Planner::default();
     submit(&mut state, 0, "a", 4, false);
@@ -125,7 +126,8 @@
 
 #[test]
 fn learnt_size() {
-    // A team declares 4 cores and uses 1: after some reports more of its jobs fit a worker.
+    // A team declares 4 cores per job and uses 1. After several usage reports, a worker gets
+    // more of its jobs than the declared sizes allow.
     let mut state = fleet(&[1], &[4]);
     let mut planner = Planner::default();
     for i in 0..4 {
@@ -143,8 +145,8 @@
 
 #[test]
 fn all_accepted() {
-    // On any fleet, the fold accepts each placement of a round, and a job that fits a worker
-    // that is free is not left waiting.
+    // On any fleet, the state accepts each placement of a round, and no job stays queued while
+    // an idle worker has enough cores for it.
     fn property(cores: Vec<u8>, jobs: Vec<(bool, u8, bool)>) -> bool {
         let cores: Vec<u32> = cores
             .iter()
