--- a/crates/assignment/src/baseline.rs
+++ b/crates/assignment/src/baseline.rs
@@ -1,9 +1,11 @@
-//! Simple ways to plan, kept to compare against.
+//! Simple planning algorithms, used as baselines for comparison.
 
 use crate::planner::Draft;
 use crate::{Cost, Problem, Reason};
 
-/// Takes spare machines in their order until demand fits after the worst loss.
+/// Adds spare machines in index order until demand fits after the worst failure.
+///
+/// Returns the number of moves, the cost, and the slots missing after the worst failure.
 pub fn first_fit(problem: &Problem) -> (usize, Cost, u64) {
     fill(problem, |draft, pool| {
         let mut free = draft
@@ -17,7 +19,9 @@
     })
 }
 
-/// Spreads over racks until demand fits while nothing is lost.
+/// Adds spare machines spread over racks until demand fits without any failure.
+///
+/// Returns the number of moves, the cost, and the slots missing after the worst failure.
 pub fn spread_only(problem: &Problem) -> (usize, Cost, u64) {
     fill(problem, |draft, pool| {
         let whole = draft.capacities[pool].total >= problem.specs[pool].demand;
@@ -25,7 +29,10 @@
     })
 }
 
-/// Moves, cost, and slots missing after the worst loss.
+/// Adds the machine selected by `pick` to each pool until its demand fits or `pick` returns
+/// `None`.
+///
+/// Returns the number of moves, the cost, and the slots missing after the worst failure.
 fn fill(
     problem: &Problem,
     pick: impl Fn(&Draft<'_>, usize) -> Option<usize>,
--- a/crates/assignment/src/bound.rs
+++ b/crates/assignment/src/bound.rs
@@ -1,9 +1,10 @@
-//! How little capacity can do.
+//! Lower bound of the capacity that a pool requires.
 
-/// Least capacity that holds `demand` after the loss of a rack, in slots, of machines with
-/// `slots` each, in `racks` racks that could be used.
+/// The least capacity, in slots, that still fits `demand` after the loss of any one rack, with
+/// machines of `slots` slots each spread over up to `racks` racks.
 ///
-/// The more racks, the smaller the largest: at best one machine.
+/// With more racks, the largest rack holds fewer machines, down to a single one. Returns `None`
+/// if no capacity fits a positive demand: with fewer than two racks or machines without slots.
 pub fn least_capacity(demand: u64, slots: u64, racks: u64) -> Option<u64> {
     if demand == 0 {
         return Some(0);
--- a/crates/assignment/src/improve.rs
+++ b/crates/assignment/src/improve.rs
@@ -1,20 +1,21 @@
-//! Local search: giving surplus back and spreading what is crowded.
+//! Local search: releases surplus members and spreads members over more racks.
 
 use std::cmp::Reverse;
 
 use crate::Reason;
 use crate::planner::Draft;
 
-/// Most exchanges tried for one pool, and most members looked at for one to go.
+/// Maximum number of exchanges tried for one pool, and of members examined to find one that can
+/// leave.
 const MAX_TRIES: usize = 8;
 
-/// Most moves in one exchange.
+/// Maximum number of moves in the first phase of an exchange, which shrinks the largest racks.
 const MAX_EXCHANGE_MOVES: usize = 16;
 
 impl Draft<'_> {
-    /// Improves pools one after the other for as long as the weights say that it pays.
+    /// Improves each pool whose demand fits, for as long as the weighted cost decreases.
     ///
-    /// All give back first, so that exchanges have more racks to choose from.
+    /// All pools release their surplus first, so that exchanges have more racks to choose from.
     pub(crate) fn improve(&mut self) {
         let Some(spare) = self.spare else {
             return;
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Gives members back that the pool can do without, from its largest racks first.
+    /// Moves surplus members to the spare pool, from the largest racks first, while that lowers the
+    /// weighted cost.
     fn release(&mut self, pool: usize, spare: usize) {
         while self.can_add_move() {
             let before = self.weighted_cost();
@@ -49,10 +51,11 @@
         }
     }
 
-    /// Exchanges members of the largest racks for machines in racks that the pool uses less,
-    /// until all those racks have shrunk and the pool can do with fewer; whether that paid.
+    /// Exchanges members of the pool's largest racks for spare machines in racks that the pool
+    /// uses less, until all of its largest racks have shrunk, and then releases surplus members.
     ///
-    /// A machine comes before one goes, so that each prefix keeps demand.
+    /// Returns whether the weighted cost decreased; otherwise, all moves are undone. Each
+    /// replacement joins before a member leaves, so that every prefix of the moves fits demand.
     fn exchange(&mut self, pool: usize, spare: usize) -> bool {
         let before = self.weighted_cost();
         let len = self.moves.len();
@@ -76,7 +79,8 @@
         false
     }
 
-    /// One in, one out of the largest rack.
+    /// Adds one spare machine to the pool and releases one surplus member. The machine's rack must
+    /// stay smaller than `largest`.
     fn swap(&mut self, pool: usize, spare: usize, largest: u64) -> bool {
         if !self.can_add_move() {
             return false;
@@ -96,7 +100,8 @@
         true
     }
 
-    /// The member that the pool misses least, if it can do without one.
+    /// The member that is best released, if the pool can release any: useless members first, then
+    /// those in the largest rack, with the shortest drain, and with the most usable slots.
     fn surplus_member(&mut self, pool: usize) -> Option<usize> {
         let mut members: Vec<usize> = (0..self.machines.len())
             .filter(|n| self.machines[*n].pool == pool)
@@ -114,7 +119,8 @@
                 *n,
             )
         });
-        // The first few stand for all: the rest lie in racks that are no more crowded.
+        // Checking only the first few is enough: the other members are in racks that are no more
+        // crowded.
         let few = members.into_iter().take(MAX_TRIES);
         few.into_iter().find(|n| self.can_leave(*n))
     }
--- a/crates/assignment/src/lib.rs
+++ b/crates/assignment/src/lib.rs
@@ -1,10 +1,18 @@
-//! Which instance serves which pool: plans of moves that make every pool's demand fit.
+//! Assignment of instances to pools: plans the moves that make every pool's demand fit.
 //!
-//! Hard rules: an instance is in one pool; a pool's demand fits after the loss of any one rack
-//! and, where asked, of any one data centre; a pool keeps more members than its budget lets
-//! go. Every prefix of a plan's moves keeps them. Soft, by [`Weights`]: moves, capacity above
-//! demand, roll-out time, spread. Greedy repair, then local search by single moves and
-//! exchanges; plain data in and out, no clock, no randomness.
+//! Hard constraints:
+//!
+//! - An instance is in exactly one pool.
+//! - A pool's demand fits after the loss of any one rack and, if requested, of any one data
+//!   centre.
+//! - A pool has more members than its disruption budget allows to be down at once.
+//!
+//! Every prefix of a plan's moves keeps the hard constraints. Soft goals, weighted by
+//! [`Weights`], are few moves, little capacity above demand, a short roll-out, and spread over
+//! racks.
+//!
+//! The algorithm is a greedy repair followed by local search with single moves and exchanges.
+//! It is deterministic: it works on plain data and uses neither a clock nor randomness.
 
 mod baseline;
 mod bound;
--- a/crates/assignment/src/machine.rs
+++ b/crates/assignment/src/machine.rs
@@ -1,17 +1,17 @@
-//! Instances as the planner sees them.
+//! Instances as input to the planner.
 
 use cactuswheel_model::InstanceId;
 
-/// An instance with dense numbers for its places.
+/// An instance, with its rack, data centre and pool given as indexes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Machine {
-    /// The instance.
+    /// The ID of the instance.
     pub id: InstanceId,
-    /// Its rack, numbered over the whole fleet.
+    /// Index of the rack, unique over the whole fleet.
     pub rack: usize,
-    /// Its data centre.
+    /// Index of the data centre.
     pub dc: usize,
-    /// Slots of work that it runs at once.
+    /// Number of work slots that run concurrently.
     pub slots: u64,
     /// Processor cores.
     pub cores: u64,
@@ -19,18 +19,19 @@
     pub memory: u64,
     /// Accelerators.
     pub accels: u64,
-    /// The pool that it is in.
+    /// Index of the pool that the machine is in, in [`Problem::specs`](crate::Problem::specs).
     pub pool: usize,
-    /// Whether it is lost: it counts for nothing and is not moved.
+    /// Whether the instance is lost. A lost machine adds no capacity and is not moved.
     pub lost: bool,
-    /// Whether a planned outage or a move holds it: it counts, and is not moved.
+    /// Whether the instance is in a planned outage or a move. A pinned machine adds capacity but
+    /// is not moved.
     pub pinned: bool,
-    /// Expected time until its work has ended, in seconds; a move waits that long.
+    /// Expected time to drain the instance, in seconds. A move waits for that long.
     pub drain_secs: u64,
 }
 
 impl Machine {
-    /// Whether it may be moved, as far as it is known.
+    /// Whether the machine is neither lost nor pinned. Its pool may still be unable to release it.
     pub fn is_movable(&self) -> bool {
         !self.lost && !self.pinned
     }
--- a/crates/assignment/src/plan.rs
+++ b/crates/assignment/src/plan.rs
@@ -1,73 +1,75 @@
-//! What comes out of planning.
+//! The planner's result.
 
 use std::fmt;
 
 use cactuswheel_model::{InstanceId, PoolId};
 use serde::Serialize;
 
-/// Moves in the order in which they keep the hard rules, and what they cannot mend.
+/// Moves in an order that keeps the hard constraints, and the shortages that remain.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Plan {
-    /// Moves; any prefix may be carried out alone.
+    /// The moves. Any prefix of them may be carried out on its own.
     pub moves: Vec<Move>,
-    /// Pools whose demand still does not fit.
+    /// Pools whose demand does not fit even after all moves.
     pub missing: Vec<Shortage>,
-    /// The state after all moves.
+    /// The cost of the state after all moves.
     pub cost: Cost,
 }
 
-/// One instance to another pool.
+/// A move of one instance to another pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Move {
-    /// The instance.
+    /// The instance to move.
     pub instance: InstanceId,
-    /// The pool that it leaves.
+    /// The pool that the instance leaves.
     pub from: PoolId,
-    /// The pool that it joins.
+    /// The pool that the instance joins.
     pub to: PoolId,
-    /// Why.
+    /// The reason for the move.
     pub reason: Reason,
 }
 
-/// Why an instance moves.
+/// The reason for a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// Demand of the pool that it joins does not fit after the worst loss.
+    /// The demand of the joined pool does not fit after the worst failure.
     Demand,
-    /// It replaces members that are crowded into one rack.
+    /// The instance replaces a member in one of the largest racks of the joined pool.
     Spread,
-    /// The pool that it leaves has more than it specs.
+    /// The pool that the instance leaves has more capacity than it needs.
     Surplus,
 }
 
-/// Demand that does not fit.
+/// A pool whose demand does not fit after the worst failure.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Shortage {
-    /// The pool.
+    /// The pool with the shortage.
     pub pool: PoolId,
-    /// Slots at peak.
+    /// Peak demand, in slots.
     pub demand: u64,
-    /// Slots that are left after the worst loss.
+    /// Capacity that remains after the worst failure, in slots.
     pub safe: u64,
-    /// Slots that are missing.
+    /// Demand above the remaining capacity, in slots.
     pub missing: u64,
-    /// Whether more rounds may mend it: this one ran into its limit of moves.
+    /// Whether further planning rounds may resolve the shortage, because this round reached its
+    /// limit of moves.
     pub more: bool,
 }
 
-/// What a state costs, in the units of the goals.
+/// The cost of a state, with one unweighted term per soft goal.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Cost {
-    /// Moves.
+    /// Number of moves.
     pub moves: usize,
-    /// Hours for which they wait for work to end.
+    /// Total time that the moves wait for instances to drain, in hours.
     pub wait: f64,
-    /// Slots above demand, over all pools with demand.
+    /// Capacity above demand, summed over all pools with demand, in slots.
     pub buffer: u64,
-    /// Most reboots in a row of any pool in a roll-out.
+    /// Number of sequential reboot steps of a roll-out, in the pool that needs the most.
     pub rollout: usize,
-    /// Slots by which the largest racks are above the mean.
+    /// Sum over the pools with demand of how far the largest rack is above the pool's mean rack,
+    /// in slots.
     pub crowding: u64,
 }
 
--- a/crates/assignment/src/planner.rs
+++ b/crates/assignment/src/planner.rs
@@ -1,28 +1,29 @@
-//! Planning: repair, then improve.
+//! The planner: repairs shortages first, then improves the cost.
 
 use crate::{Cost, Machine, Move, Plan, PoolCapacity, Problem, Reason, Shortage};
 
-/// Plans at most [`Problem::max_moves`] moves from the state as it stands.
+/// Plans at most [`Problem::max_moves`] moves from the current state.
 pub fn plan(problem: &Problem) -> Plan {
     let mut draft = Draft::new(problem);
     draft.repair();
     draft.improve();
-    // What pools gave back may be what others lack.
+    // Members released by some pools may resolve shortages of others.
     draft.repair();
     draft.finish()
 }
 
-/// A plan in the making.
+/// A plan under construction.
 pub(crate) struct Draft<'a> {
     pub(crate) problem: &'a Problem,
     pub(crate) machines: Vec<Machine>,
     pub(crate) capacities: Vec<PoolCapacity>,
-    /// Machines in spare pools that may go elsewhere, by rack.
+    /// Movable machines in spare pools, by rack.
     pub(crate) spare_machines: Vec<Vec<usize>>,
-    /// Moves of each machine so far: one, or a second out of the spare pool.
+    /// Number of moves of each machine in this plan: at most one, or two if the first one went to
+    /// the spare pool.
     pub(crate) move_counts: Vec<u8>,
     pub(crate) moves: Vec<(usize, usize, usize, Reason)>,
-    /// The pool that takes what others do not spec.
+    /// The spare pool that receives surplus members.
     pub(crate) spare: Option<usize>,
 }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Whether one more move fits into the plan.
+    /// Whether the plan has not reached its limit of moves.
     pub(crate) fn can_add_move(&self) -> bool {
         self.moves.len() < self.problem.max_moves
     }
@@ -54,7 +55,7 @@
         self.problem.specs[pool].usable_slots(&self.machines[n])
     }
 
-    /// Whether a machine may leave its pool now.
+    /// Whether a machine can leave its pool without violating a hard constraint.
     pub(crate) fn can_leave(&mut self, n: usize) -> bool {
         let machine = &self.machines[n];
         if !machine.is_movable() || self.move_counts[n] > 0 {
@@ -64,9 +65,10 @@
         self.capacities[machine.pool].can_remove(machine, spec)
     }
 
-    /// Whether a machine may join a pool now, as far as its moves so far go.
+    /// Whether the previous moves of a machine in this plan allow it to join a pool.
     ///
-    /// One that a pool gave back in this plan may go on into another.
+    /// A machine that was released to the spare pool in this plan may move on to a pool other
+    /// than its original one.
     pub(crate) fn may_join(&self, n: usize, pool: usize) -> bool {
         match self.move_counts[n] {
             0 => true,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Appends a move; the caller has seen that it keeps the hard rules.
+    /// Appends a move. The caller must have checked that it keeps the hard constraints.
     pub(crate) fn push(&mut self, n: usize, to: usize, reason: Reason) {
         let from = self.machines[n].pool;
         self.reassign(n, to);
@@ -83,7 +85,7 @@
         self.moves.push((n, from, to, reason));
     }
 
-    /// Takes the newest moves back until `len` are left.
+    /// Undoes the newest moves until `len` moves remain.
     pub(crate) fn undo_to(&mut self, len: usize) {
         while self.moves.len() > len {
             if let Some((n, from, ..)) = self.moves.pop() {
@@ -108,7 +110,7 @@
         self.machines[n].pool = to;
     }
 
-    /// The state's cost by the weights, over the pools given.
+    /// The sum of the cost terms, multiplied by their weights.
     pub(crate) fn weighted_cost(&self) -> f64 {
         let weights = &self.problem.weights;
         let cost = self.cost();
@@ -121,7 +123,7 @@
     pub(crate) fn cost(&self) -> Cost {
         let mut cost = Cost::default();
         let mut wait = 0;
-        // A machine that goes on out of the spare pool moves once, directly.
+        // A machine that moves on from the spare pool counts as one direct move.
         for (n, from, ..) in &self.moves {
             if self.problem.machines[*n].pool == *from {
                 cost.moves += 1;
@@ -144,8 +146,9 @@
     fn finish(self) -> Plan {
         let cost = self.cost();
         let name = |pool: usize| self.problem.specs[pool].id.clone();
-        // Of two moves of a machine the second stands, from its first pool. Until then that
-        // pool keeps a machine more than was planned, which breaks no rule.
+        // Two moves of a machine are merged into one, from its original pool to its last one, at
+        // the position of the second move. Until then, the original pool has one machine more
+        // than planned, which violates no constraint.
         let last = self.moves.iter().filter(|m| self.machines[m.0].pool == m.2);
         let moves = last.filter_map(|(n, _, to, reason)| {
             Some(Move {
--- a/crates/assignment/src/pool_capacity.rs
+++ b/crates/assignment/src/pool_capacity.rs
@@ -1,28 +1,28 @@
-//! What a pool has.
+//! Capacity of a pool by failure domain.
 
 use std::collections::BTreeMap;
 
 use crate::{Machine, PoolSpec};
 
-/// A pool's capacity by failure domain.
+/// The capacity of a pool, in total and by rack and data centre.
 #[derive(Debug, Clone)]
 pub struct PoolCapacity {
-    /// Members that are not held.
+    /// Number of members that are not lost.
     pub members: usize,
-    /// Worth of all members, in slots.
+    /// Usable slots of all members.
     pub total: u64,
-    /// Worth by rack.
+    /// Usable slots by rack.
     racks: Vec<u64>,
-    /// Number of racks by their slots, empty racks left out.
+    /// Number of racks by their usable slots, without empty racks.
     ///
-    /// Invariant: agrees with `racks`; its last key is the largest rack.
+    /// Invariant: consistent with `racks`; the last key is the size of the largest rack.
     rack_counts: BTreeMap<u64, usize>,
-    /// Worth by data centre.
+    /// Usable slots by data centre.
     dcs: Vec<u64>,
 }
 
 impl PoolCapacity {
-    /// An empty pool.
+    /// Creates an empty pool in a fleet with the given numbers of racks and data centres.
     pub fn new(racks: usize, dcs: usize) -> Self {
         Self {
             members: 0,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Adds a member worth so much.
+    /// Adds a member with the given number of usable slots.
     pub fn add(&mut self, machine: &Machine, slots: u64) {
         self.members += 1;
         self.total += slots;
@@ -41,7 +41,7 @@
         self.set_rack_slots(machine.rack, self.racks[machine.rack] + slots);
     }
 
-    /// Removes a member worth so much.
+    /// Removes a member with the given number of usable slots.
     pub fn remove(&mut self, machine: &Machine, slots: u64) {
         self.members -= 1;
         self.total -= slots;
@@ -49,22 +49,23 @@
         self.set_rack_slots(machine.rack, self.racks[machine.rack] - slots);
     }
 
-    /// Worth in a rack.
+    /// Usable slots in a rack.
     pub fn rack(&self, rack: usize) -> u64 {
         self.racks[rack]
     }
 
-    /// Worth in a data centre.
+    /// Usable slots in a data centre.
     pub fn dc(&self, dc: usize) -> u64 {
         self.dcs[dc]
     }
 
-    /// Worth of the largest rack.
+    /// Usable slots in the largest rack.
     pub fn largest(&self) -> u64 {
         self.rack_counts.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Capacity that is left after the worst loss that the pool has to stand.
+    /// Capacity that remains after the worst failure that the pool must tolerate, in slots: the
+    /// loss of its largest rack or, if requested, of its largest data centre.
     pub fn surviving(&self, spec: &PoolSpec) -> u64 {
         let mut worst = self.largest();
         if spec.any_dc {
@@ -73,7 +74,7 @@
         self.total - worst
     }
 
-    /// [`safe`](Self::safe) with a machine more.
+    /// Like [`surviving`](Self::surviving), with one more machine in the pool.
     pub fn surviving_with(&self, machine: &Machine, slots: u64, spec: &PoolSpec) -> u64 {
         let mut worst = self.largest().max(self.racks[machine.rack] + slots);
         if spec.any_dc {
@@ -83,14 +84,15 @@
         self.total + slots - worst
     }
 
-    /// Demand that does not fit after the worst loss, in slots.
+    /// Demand that does not fit after the worst failure, in slots.
     pub fn deficit(&self, spec: &PoolSpec) -> u64 {
         spec.demand.saturating_sub(self.surviving(spec))
     }
 
-    /// Whether a member may leave for good without breaking a hard rule, or breaking it more.
+    /// Whether a member can leave permanently without violating a hard constraint or worsening a
+    /// violation.
     ///
-    /// A budget of none lets nothing go: a move begins with an outage.
+    /// With a disruption budget of 0, no member can leave, because a move begins with an outage.
     pub fn can_remove(&mut self, machine: &Machine, spec: &PoolSpec) -> bool {
         let Some(down) = spec.max_down else {
             return true;
@@ -105,7 +107,8 @@
         fits || slots == 0
     }
 
-    /// Members beyond one, counted by rack in slots: what one rack's loss takes at once.
+    /// Slots by which the largest rack is above the mean of the non-empty racks. The mean is
+    /// rounded up.
     pub fn crowding(&self) -> u64 {
         let racks = self.rack_counts.values().sum::<usize>() as u64;
         match racks {
--- a/crates/assignment/src/pool_spec.rs
+++ b/crates/assignment/src/pool_spec.rs
@@ -1,32 +1,34 @@
-//! What pools spec.
+//! Requirements of pools.
 
 use cactuswheel_model::PoolId;
 
 use crate::Machine;
 
-/// A pool and what its services ask for.
+/// A pool and the combined requirements of its services.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PoolSpec {
-    /// The pool; `None` only in a default value.
+    /// The ID of the pool; `None` only in the default value.
     pub id: Option<PoolId>,
-    /// Slots of work at peak, over all its services; 0 for a spare pool.
+    /// Peak demand of all services of the pool, in slots; 0 for a spare pool.
     pub demand: u64,
-    /// Most members that may be unavailable at once; `None` if no service specs the pool.
+    /// Maximum number of members that may be unavailable at once; `None` if no service uses the
+    /// pool.
     pub max_down: Option<usize>,
-    /// Whether its members may be given to other pools, and surplus goes there.
+    /// Whether this is a spare pool: its members may be moved to other pools, and surplus members
+    /// of other pools are moved to it.
     pub spare: bool,
-    /// Whether its demand has to fit after the loss of a data centre too.
+    /// Whether the demand must also fit after the loss of any one data centre.
     pub any_dc: bool,
-    /// Least cores of a member that is of use.
+    /// Minimum number of cores of a usable member.
     pub cores: u64,
-    /// Least memory of a member that is of use, in MiB.
+    /// Minimum memory of a usable member, in MiB.
     pub memory: u64,
-    /// Least accelerators of a member that is of use.
+    /// Minimum number of accelerators of a usable member.
     pub accels: u64,
 }
 
 impl PoolSpec {
-    /// What a machine is worth to the pool, in slots; 0 if it lacks something.
+    /// Number of slots that a machine adds to the pool; 0 if it is below one of the minimums.
     pub fn usable_slots(&self, machine: &Machine) -> u64 {
         let fits = machine.cores >= self.cores
             && machine.memory >= self.memory
--- a/crates/assignment/src/problem.rs
+++ b/crates/assignment/src/problem.rs
@@ -1,26 +1,26 @@
-//! What there is to be planned.
+//! The planner's input.
 
 use crate::{Machine, PoolCapacity, PoolSpec, Weights};
 
-/// Instances, pools and what counts how much.
+/// Instances, pools, and the weights and limits of planning.
 #[derive(Debug, Clone, Default)]
 pub struct Problem {
-    /// Instances in a fixed order, which settles ties.
+    /// Instances in a fixed order, which is used to break ties.
     pub machines: Vec<Machine>,
-    /// Pools; [`Machine::pool`] is an index here.
+    /// Pools; [`Machine::pool`] is an index into this list.
     pub specs: Vec<PoolSpec>,
     /// Number of racks.
     pub racks: usize,
     /// Number of data centres.
     pub dcs: usize,
-    /// What counts how much.
+    /// Weights of the soft goals.
     pub weights: Weights,
-    /// Most moves in one plan.
+    /// Maximum number of moves in one plan.
     pub max_moves: usize,
 }
 
 impl Problem {
-    /// The capacity of every pool as it stands.
+    /// The current capacity of every pool, without lost machines.
     pub fn capacities(&self) -> Vec<PoolCapacity> {
         let mut capacities: Vec<_> = self
             .specs
--- a/crates/assignment/src/repair.rs
+++ b/crates/assignment/src/repair.rs
@@ -1,11 +1,11 @@
-//! Making demand fit.
+//! Greedy repair of shortages.
 
 use std::cmp::Reverse;
 
 use crate::Reason;
 use crate::planner::Draft;
 
-/// How well a machine mends a pool: higher is better.
+/// How well a machine suits a pool with a shortage; higher is better.
 type Score = (
     u64,
     Reverse<u64>,
@@ -16,9 +16,9 @@
 );
 
 impl Draft<'_> {
-    /// Gives machines to pools whose demand does not fit, the largest demand first.
+    /// Adds machines to the pools whose demand does not fit, in order of decreasing demand.
     ///
-    /// A large pool specs the most racks, and racks are free at the beginning.
+    /// The largest pool needs the most racks, and most racks are still free at the beginning.
     pub(crate) fn repair(&mut self) {
         let mut short: Vec<usize> = (0..self.capacities.len())
             .filter(|pool| self.deficit(*pool) > 0)
@@ -29,10 +29,11 @@
         }
     }
 
-    /// Adds machines to a pool until its demand fits.
+    /// Adds machines to a pool until its demand fits, no machine is left or the plan reaches its
+    /// limit of moves.
     ///
-    /// Machines that would lie in its largest rack bring nothing by themselves; those at the
-    /// end that brought nothing are left where they were.
+    /// A machine in the pool's largest rack does not reduce the shortage on its own. If no more
+    /// machines are found, the last moves that did not reduce the shortage are undone.
     fn fill(&mut self, pool: usize) {
         let mut useful = self.moves.len();
         let mut least = self.deficit(pool);
@@ -53,7 +54,7 @@
         self.capacities[pool].deficit(&self.problem.specs[pool])
     }
 
-    /// The best machine of a spare pool.
+    /// The machine of a spare pool with the highest score.
     pub(crate) fn best_free(&self, pool: usize) -> Option<usize> {
         let mut best: Option<(Score, usize)> = None;
         for rack in &self.spare_machines {
@@ -69,7 +70,7 @@
         best.map(|(_, n)| n)
     }
 
-    /// The best machine that another pool can do without.
+    /// The machine with the highest score that another pool can release.
     fn best_donor(&mut self, pool: usize) -> Option<usize> {
         let mut scored: Vec<_> = (0..self.machines.len())
             .filter(|n| self.machines[*n].pool != pool)
@@ -83,8 +84,12 @@
             .find(|n| self.can_leave(*n))
     }
 
-    /// Useful gain first, then least waste, least work to wait for, the emptiest rack and data
-    /// centre, and a rack that has many free ones left for other pools.
+    /// Scores a machine for a pool, or returns `None` if it cannot be used.
+    ///
+    /// The criteria are, in order: the most added capacity up to the demand, the fewest wasted
+    /// slots, the shortest drain, the least capacity of the pool in the same rack (and data
+    /// centre, if its loss must be tolerated), and the most spare machines left in the rack for
+    /// other pools. The lowest index breaks ties.
     fn score(&self, n: usize, pool: usize, left: usize) -> Option<Score> {
         let machine = &self.machines[n];
         let spec = &self.problem.specs[pool];
--- a/crates/assignment/src/settings.rs
+++ b/crates/assignment/src/settings.rs
@@ -4,13 +4,13 @@
 
 use crate::Weights;
 
-/// What counts how much, and how much one round may move.
+/// Weights of the soft goals, and the limit of moves per planning round.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// Weights of the soft goals.
     pub weights: Weights,
-    /// Most moves in one round.
+    /// Maximum number of moves in one planning round.
     pub moves: usize,
 }
 
--- a/crates/assignment/src/snapshot.rs
+++ b/crates/assignment/src/snapshot.rs
@@ -1,14 +1,15 @@
-//! The problem that the fleet's state poses.
+//! Conversion of the fleet's state into a planning problem.
 
 use cactuswheel_fleet::{Stage, State};
 use cactuswheel_model::{DcId, Map, PoolId, Purpose, RackId};
 
 use crate::{Machine, PoolSpec, Problem, Weights};
 
-/// Time for which a move is taken to wait for one job, in seconds; run times are not known.
+/// Assumed time that a move waits for each job placed on the instance, in seconds. Actual run
+/// times are not known.
 const JOB_DRAIN_SECS: u64 = 3_600;
 
-/// Reads the problem off the fold; what is lost counts for nothing.
+/// Builds the planning problem from the state. Lost instances add no capacity.
 pub fn problem_from_state(state: &State, weights: Weights, max_moves: usize) -> Problem {
     let config = state.config();
     let mut pools: Map<&PoolId, usize> = Map::default();
@@ -28,7 +29,8 @@
         spec.demand += u64::from(service.demand.get());
         let down = service.max_down as usize;
         spec.max_down = Some(spec.max_down.map_or(down, |least| least.min(down)));
-        // A pool that serves something is no store to take from freely.
+        // A pool that a service uses does not count as a spare pool, whose members can be taken
+        // freely.
         spec.spare = false;
     }
     let mut racks: Map<(&DcId, &RackId), usize> = Map::default();
@@ -41,7 +43,8 @@
         let dc = *dcs.entry(&instance.dc).or_insert(next);
         let placed = state.jobs().worker(&instance.id).map_or(0, |w| w.placed);
         let stage = state.disruptions().outage(&instance.id).map(|h| &h.stage);
-        // What drains for a move counts where it goes, so that no other is moved in its place.
+        // An instance that is draining for a move counts for its target pool. Otherwise, the planner
+        // would move another instance in its place.
         let pool = match stage {
             Some(Stage::Draining(Purpose::Move { to, .. })) => to,
             _ => &instance.pool,
--- a/crates/assignment/src/weights.rs
+++ b/crates/assignment/src/weights.rs
@@ -1,18 +1,18 @@
-//! What counts how much.
+//! Weights of the soft goals.
 
 use serde::Deserialize;
 
-/// Weights of the soft goals; a goal with weight 0 is not pursued.
+/// Cost of one unit of each soft goal; a goal with weight 0 is ignored.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Weights {
-    /// One move, and each hour that a move waits for work to end.
+    /// Cost of a move, and of each hour that a move waits for its instance to drain.
     pub moves: f64,
-    /// One slot of capacity above demand.
+    /// Cost of a slot of capacity above demand.
     pub buffer: f64,
-    /// One step of a roll-out: as many reboots in a row.
+    /// Cost of one sequential reboot step of a roll-out.
     pub rollout: f64,
-    /// One slot by which a pool's largest rack is above the mean.
+    /// Cost of a slot by which a pool's largest rack is above the pool's mean rack.
     pub spread: f64,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Weights {
-    /// For work with hard deadlines: a fast roll-out counts more than a few moves.
+    /// Weights for work with hard deadlines, where a fast roll-out is worth additional moves.
     pub fn deadlines() -> Self {
         Self {
             moves: 1.0,
@@ -37,7 +37,8 @@
         }
     }
 
-    /// For work that runs for days: every move risks it, and buffer is dear.
+    /// Weights for work that runs for days, where each move puts running work at risk and unused
+    /// capacity is expensive.
     pub fn long_work() -> Self {
         Self {
             moves: 6.0,
--- a/crates/assignment/tests/fleets/mod.rs
+++ b/crates/assignment/tests/fleets/mod.rs
@@ -1,4 +1,4 @@
-//! Fleets drawn from a seed, shared by tests and the example.
+//! Fleets generated from a seed, shared by the tests and the example.
 
 use cactuswheel_assignment::{Machine, PoolSpec, Problem, Weights};
 use cactuswheel_testkit::Rng;
@@ -6,17 +6,17 @@
 /// Size of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Pools with demand.
+    /// Number of pools with demand.
     pub pools: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub dcs: usize,
-    /// Part of all slots that is asked for, in percent.
+    /// Total demand relative to all slots, in percent.
     pub load: u64,
 }
 
-/// Workers a rack.
+/// Workers per rack.
 pub const RACK: usize = 4;
 
 /// Platno's and the Shaker Lab's size: 50 workers, five services and a spare pool.
@@ -27,7 +27,7 @@
     load: 70,
 };
 
-/// A fleet whose workers all lie in the spare pool, which is the last.
+/// A fleet whose workers are all in the spare pool, which is the last pool.
 pub fn fleet(size: Size, seed: u64, weights: Weights) -> Problem {
     let mut rng = Rng::new(seed);
     let slots = size.workers as u64 * 8;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Carries a plan's moves out.
+/// Applies the moves of a plan to the problem.
 pub fn apply(problem: &mut Problem, moves: &[cactuswheel_assignment::Move]) {
     for step in moves {
         let place = |id: &cactuswheel_model::PoolId| {
