--- a/crates/platform/src/batch.rs
+++ b/crates/platform/src/batch.rs
@@ -1,31 +1,31 @@
-//! Messages of the log.
+//! Messages of the log service.
 
 use cactuswheel_model::Offset;
 use serde::{Deserialize, Serialize};
 
-/// A record and its position.
+/// A log record with its offset.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position.
+    /// The offset of the record.
     pub offset: Offset,
-    /// Its text, which the log does not look into.
+    /// The body of the record, which is opaque to the log.
     pub body: String,
 }
 
-/// A run of records.
+/// Consecutive records, as returned by a read.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Batch {
-    /// The oldest position still kept.
+    /// The offset of the oldest record that is retained.
     pub first: Offset,
-    /// The position that the next append gets.
+    /// The offset that the next appended record gets.
     pub head: Offset,
-    /// Records without a gap; empty if nothing came within the wait.
+    /// Records with consecutive offsets; empty if none was appended within the wait time.
     pub entries: Vec<Entry>,
 }
 
-/// Answer to an append.
+/// Response to an append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Appended {
-    /// Position of the first record appended.
+    /// The offset of the first appended record.
     pub offset: Offset,
 }
--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -1,26 +1,28 @@
-//! The log's append budget.
+//! Rate limit of appends to the log.
 
 use std::time::Duration;
 
 use cactuswheel_model::Time;
 
-/// What an append is for; each use has its own budget.
+/// The purpose of an append; each purpose has its own rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendPurpose {
-    /// Operators' tickets.
+    /// Tickets of operators.
     Ticket,
-    /// Records that entries propose by themselves.
+    /// Records that entries propose on their own.
     Control,
 }
 
 impl AppendPurpose {
-    /// Every use.
+    /// All purposes.
     pub const ALL: [Self; 2] = [Self::Ticket, Self::Control];
 
-    /// Appends a second that one entry makes in the long run, however many records wait.
+    /// Maximum sustained rate of one entry, in appends per second, regardless of how many records
+    /// are queued.
     ///
-    /// The log takes several hundred a second; 75 entries (three in each of 25 data centres)
-    /// at 4 a second together stay below 300.
+    /// The log accepts several hundred appends per second. With 75 entries (three in each of 25
+    /// data centres) at 4 appends per second each, over both purposes, the total is 300 appends
+    /// per second at most.
     pub const fn rate(self) -> u32 {
         match self {
             Self::Ticket | Self::Control => 2,
@@ -28,20 +30,22 @@
     }
 }
 
-/// Spaces the appends of one use: a token bucket.
+/// Token bucket that limits the appends of one purpose.
 #[derive(Debug, Clone)]
 pub struct AppendBudget {
-    /// Time for one more append.
+    /// Time between two appends at the sustained rate.
     gap: Duration,
+    /// Time at which the next append is allowed; may be in the past.
+    ///
     /// Invariant: at most `BURST` gaps in the past.
     next_free: Time,
 }
 
-/// Appends that may follow each other at once after a quiet time.
+/// Number of appends allowed without a delay after an idle period.
 const BURST: u32 = 4;
 
 impl AppendBudget {
-    /// A full budget.
+    /// Creates a full token bucket.
     pub fn new(of: AppendPurpose) -> Self {
         Self {
             gap: Duration::from_secs(1) / of.rate(),
@@ -49,7 +53,7 @@
         }
     }
 
-    /// Takes one append; the time to wait before it is made.
+    /// Takes a token and returns the time to wait before the append may be sent.
     pub fn take(&mut self, now: Time) -> Duration {
         let saved = self.gap * (BURST - 1);
         let earliest = now.get().saturating_sub(saved.as_millis() as u64);
--- a/crates/platform/src/changes.rs
+++ b/crates/platform/src/changes.rs
@@ -1,20 +1,20 @@
-//! What changed in the roster.
+//! Incremental updates of the roster.
 
 use cactuswheel_model::InstanceId;
 use serde::{Deserialize, Serialize};
 
 use crate::{RosterEntry, RosterSnapshot};
 
-/// Changes since a version of the list, or all of it.
+/// The changes of the roster since a version, or the whole roster.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterChanges {
-    /// The version after these changes; empty before the first answer.
+    /// The version after these changes; empty before the first response.
     pub version: String,
-    /// Whether `listed` is the whole list.
+    /// Whether `listed` is the whole roster.
     pub whole: bool,
-    /// Instances that are new or listed otherwise than before.
+    /// Instances that are new or whose roster entry changed.
     pub listed: Vec<RosterEntry>,
-    /// Instances that are no longer listed.
+    /// Instances that are no longer in the roster.
     pub gone: Vec<InstanceId>,
 }
 
@@ -24,7 +24,7 @@
         !self.whole && self.listed.is_empty() && self.gone.is_empty()
     }
 
-    /// The list after these changes, sorted by name.
+    /// The roster after these changes, sorted by instance ID.
     pub fn apply(&self, old: &RosterSnapshot) -> RosterSnapshot {
         let changed = |id: &InstanceId| {
             self.gone.contains(id) || self.listed.iter().any(|seen| seen.id == *id)
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! HTTP client of the platform's log, roster and task services.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
     TaskOrder, Tasks,
 };
 
-/// Time limit of a call, on top of the wait that it asks for.
+/// Timeout of a call, in addition to the wait time that the call requests.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Client of the platform's services.
+/// HTTP client of the platform's services.
 #[derive(Debug, Clone)]
 pub struct Client {
     platform: SocketAddr,
@@ -26,7 +26,7 @@
 }
 
 impl Client {
-    /// A client of the platform at `platform`.
+    /// Creates a client of the platform at the address `platform`.
     pub fn new(platform: SocketAddr) -> Self {
         Self {
             platform,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Counts the bytes of all calls.
+    /// The counter of bytes sent and received by all calls.
     pub fn meter(&self) -> &Meter {
         &self.meter
     }
@@ -131,7 +131,7 @@
     match answer.status {
         StatusCode::OK => answer.json().map_err(|e| LogError::Unknown(e.to_string())),
         StatusCode::GONE => Err(trimmed(&answer)),
-        // The platform says by this status that it did nothing.
+        // With this status, the platform guarantees that the call had no effect.
         StatusCode::SERVICE_UNAVAILABLE => Err(LogError::Unavailable("it is down".into())),
         status => Err(LogError::Unknown(status.to_string())),
     }
--- a/crates/platform/src/control.rs
+++ b/crates/platform/src/control.rs
@@ -1,4 +1,4 @@
-//! Worker control over HTTP.
+//! Worker control over HTTP: drain, resume, reboot and worker states.
 
 use cactuswheel_http::{Answer, CallError};
 use cactuswheel_model::InstanceId;
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,17 +1,17 @@
-//! Failures of the log.
+//! Errors of the log service.
 
 use cactuswheel_model::Offset;
 
-/// Why a call to the log has no result.
+/// Error of a call to the log.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum LogError {
-    /// The call did not take effect.
+    /// The log is unavailable; the call had no effect.
     #[error("log unavailable: {0}")]
     Unavailable(String),
-    /// The call may have taken effect.
+    /// The outcome is unknown; the call may have taken effect.
     #[error("log gave no answer: {0}")]
     Unknown(String),
-    /// The position asked for is no longer kept.
+    /// The requested offset was trimmed. Holds the oldest offset that is retained.
     #[error("log keeps records from {0} on only")]
     Trimmed(Offset),
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform as cactuswheel sees it: an append-only log, a roster of instances and
-//! control of workers.
+//! Interface to the platform's services: an append-only log, a roster of instances, and control
+//! of workers and their tasks.
 //!
-//! Traits that decision drivers are generic over, the messages that cross the wire, and the
-//! HTTP client that speaks them. The platform's real protocol is not known yet; it is met in
-//! this crate alone.
+//! The crate contains a trait for each service, the messages on the wire, and an HTTP client
+//! that implements the traits. The platform's real protocol is not known yet. Only this crate
+//! depends on the protocol, so that a change of protocol stays local to it.
 
 mod batch;
 mod budget;
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log.
+//! The append-only log service.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,31 +7,33 @@
 
 use crate::{Appended, Batch, LogError};
 
-/// A stream of the log.
+/// A stream of the log, with its own offsets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stream {
-    /// Proposals in the order that settles all races.
+    /// Proposed changes of the fleet state. Their order in the stream decides between conflicting
+    /// proposals.
     Fleet,
-    /// Snapshots of the fold.
+    /// Snapshots of the fleet state.
     Snapshots,
-    /// What workers report of their tasks; the platform writes it.
+    /// Task reports of workers, written by the platform.
     Tasks,
 }
 
-/// An append-only log with offsets.
+/// An append-only log whose records have consecutive offsets.
 pub trait Log: Send + Sync + 'static {
-    /// Appends `bodies` next to each other.
+    /// Appends `bodies` as consecutive records.
     ///
-    /// On [`LogError::Unknown`] they may have been appended.
+    /// On [`LogError::Unknown`], the records may have been appended.
     fn append(
         &self,
         stream: Stream,
         bodies: Vec<String>,
     ) -> impl Future<Output = Result<Appended, LogError>> + Send;
 
-    /// Reads up to `max` records from `from` on, waiting up to `wait` for the first.
+    /// Reads up to `max` records, starting at offset `from`, and waits up to `wait` for the first
+    /// one.
     ///
-    /// With `max` 0 it only tells which offsets the stream keeps.
+    /// With `max` 0, only the range of offsets that the stream retains is returned.
     fn read(
         &self,
         stream: Stream,
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -1,21 +1,22 @@
-//! The roster of instances.
+//! The roster service, which lists instances.
 
 use crate::RosterChanges;
 
-/// Why the roster could not be read.
+/// Error of a read of the roster.
 #[derive(Debug, thiserror::Error)]
 #[error("roster unavailable: {0}")]
 pub struct RosterError(
-    /// What happened.
+    /// The cause.
     pub String,
 );
 
-/// The platform's lagging list of instances.
+/// The platform's list of instances, which may lag behind their actual state.
 pub trait Roster: Send + Sync + 'static {
-    /// Reads what changed since a version; the whole list if that is unknown.
+    /// Reads the changes since a version, or the whole roster if the version is unknown to the
+    /// platform.
     ///
-    /// The list is long and seldom changes: read whole, 8,700 instances would cost a node far
-    /// more than its part of the network.
+    /// The roster is long and rarely changes. Reading all 8,700 instances every time would use far
+    /// more network bandwidth than a node's share.
     fn changes(
         &self,
         since: &str,
--- a/crates/platform/src/roster_entry.rs
+++ b/crates/platform/src/roster_entry.rs
@@ -1,36 +1,36 @@
-//! What the roster says of an instance.
+//! Entries of the roster.
 
 use std::net::SocketAddr;
 
 use cactuswheel_model::{Incarnation, InstanceId};
 use serde::{Deserialize, Serialize};
 
-/// Whether an instance is to get work.
+/// Whether an instance accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Presence {
-    /// It serves.
+    /// The instance serves and accepts new work.
     Live,
-    /// It finishes what it has.
+    /// The instance finishes its current work and gets no new work.
     Leaving,
 }
 
-/// One instance, as the platform saw it some time ago.
+/// The platform's last known status of an instance, which may be stale.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// Its name.
+    /// The ID of the instance.
     pub id: InstanceId,
-    /// Which of its lives.
+    /// The incarnation of the instance, which increases with each reboot.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// The address that the instance listens on.
     pub addr: SocketAddr,
-    /// Whether it is to get work.
+    /// Whether the instance accepts new work.
     pub presence: Presence,
 }
 
-/// The whole list.
+/// The whole roster at one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterSnapshot {
-    /// The instances listed.
+    /// The entries of all listed instances.
     pub instances: Vec<RosterEntry>,
 }
--- a/crates/platform/src/tasks.rs
+++ b/crates/platform/src/tasks.rs
@@ -1,81 +1,83 @@
-//! Tasks on workers.
+//! Control of tasks on workers.
 
 use cactuswheel_model::{Attempt, AttemptEnd, Incarnation, InstanceId, JobId, Room};
 use serde::{Deserialize, Serialize};
 
-/// Names one attempt at a job.
+/// Identifies one attempt of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the attempt belongs to.
     pub job: JobId,
-    /// The attempt; a worker runs each at most once in one of its lives.
+    /// The number of the attempt. A worker runs an attempt at most once per incarnation.
     pub attempt: Attempt,
 }
 
-/// What a worker is told to start.
+/// Order to a worker to start a task.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskOrder {
-    /// The attempt.
+    /// The attempt to start.
     pub task: TaskId,
-    /// The worker.
+    /// The worker that runs the task.
     pub worker: InstanceId,
-    /// The life of the worker that is meant; another life refuses.
+    /// The incarnation of the worker that the order is for. The worker refuses the order in any
+    /// other incarnation.
     pub incarnation: Incarnation,
-    /// What the task may take up; above it the worker throttles or stops it.
+    /// Resource limit of the task. If the task exceeds the limit, the worker throttles or stops it.
     pub room: Room,
-    /// What to do.
+    /// The definition of the work, which is opaque to the platform.
     pub payload: String,
-    /// Where to run on from.
+    /// The checkpoint to resume from; `None` to start from the beginning.
     pub mark: Option<String>,
-    /// Time after which the worker stops the task unless its lease is renewed, in ms.
+    /// Lease duration in ms. The worker stops the task when the lease expires without renewal.
     pub lease: u64,
 }
 
-/// What a worker reports, in the log's stream of tasks.
+/// A worker's report on a task, in the log's stream [`Tasks`](crate::Stream::Tasks).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// The attempt.
+    /// The attempt that the report is about.
     pub task: TaskId,
-    /// What there is to report.
+    /// The reported event.
     pub news: TaskEvent,
 }
 
-/// News of a task.
+/// An event in the life cycle of a task.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskEvent {
-    /// The most that it took up so far.
+    /// The peak resource usage of the task so far.
     Usage(Room),
-    /// A checkpoint was stored.
+    /// A checkpoint was stored. Holds the mark to resume from.
     Checkpoint(String),
-    /// It ended.
+    /// The task ended.
     Ended(AttemptEnd),
 }
 
-/// Why a worker was not told.
+/// Error of an order to a worker.
 #[derive(Debug, thiserror::Error)]
 pub enum TaskError {
-    /// The worker's life is another one: what ran in the life that is meant is over.
-    #[error("worker is in another life")]
+    /// The worker is in another incarnation than the order names. Tasks of the named incarnation
+    /// have ended.
+    #[error("worker has restarted: order is for another incarnation")]
     Restarted,
-    /// No answer; the worker may have been told.
+    /// The call got no valid response; the worker may have received the order.
     #[error("worker control gave no answer: {0}")]
     Unknown(String),
 }
 
-/// Worker control for tasks.
+/// Task control of workers.
 pub trait Tasks: Send + Sync + 'static {
-    /// Starts a task; telling the same again is harmless.
+    /// Starts a task. The call is idempotent.
     fn start(&self, order: &TaskOrder) -> impl Future<Output = Result<(), TaskError>> + Send;
 
-    /// Renews leases, by `lease` ms from now.
+    /// Renews the leases of tasks, so that they expire `lease` ms from now.
     fn renew(
         &self,
         tasks: &[TaskId],
         lease: u64,
     ) -> impl Future<Output = Result<(), TaskError>> + Send;
 
-    /// Stops tasks after a checkpoint if they can have one; one that never started is kept
-    /// from starting.
+    /// Stops tasks, after storing a checkpoint if they support checkpoints. A task that has not
+    /// started yet is prevented from starting.
     fn stop(&self, tasks: &[TaskId]) -> impl Future<Output = Result<(), TaskError>> + Send;
 }
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -1,80 +1,81 @@
-//! Control of workers.
+//! Control of workers: drain, resume and reboot.
 
 use cactuswheel_model::{Incarnation, InstanceId, Offset};
 use serde::{Deserialize, Serialize};
 
-/// Which life of an instance an order is for, and on whose grant.
+/// The incarnation that an order to a worker is for, and the fencing token of the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerOrder {
-    /// The life. An order for another life is refused.
+    /// The incarnation of the worker. An order for another incarnation is refused.
     pub incarnation: Incarnation,
-    /// The grant. An order on a grant at or below one that was resumed is refused.
+    /// The fencing token: the log offset of the outage grant that the order is based on. After a
+    /// resume, orders with the same or a lower token are refused.
     pub fence: Offset,
 }
 
-/// What a worker does.
+/// The operating state of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Activity {
-    /// It takes work.
+    /// The worker accepts work.
     Serving,
-    /// It finishes its work, on the grant named.
+    /// The worker finishes its work and accepts no more. Holds the fencing token of the drain order.
     Draining(Offset),
-    /// It is down.
+    /// The worker is down.
     Down,
 }
 
-/// One worker, as the platform sees it.
+/// The platform's view of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerState {
-    /// The instance.
+    /// The instance that the worker runs on.
     pub id: InstanceId,
-    /// Which of its lives.
+    /// The incarnation of the worker.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// The operating state of the worker.
     pub activity: Activity,
-    /// Requests and tasks that run on it; `None` if it does not say.
+    /// Number of requests and tasks in flight on the worker; `None` if the worker does not report it.
     pub running: Option<u32>,
 }
 
-/// Why an order was not carried out, as far as is known.
+/// Error of an order to a worker.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkerError {
-    /// The order did not take effect.
+    /// Worker control is unavailable; the order had no effect.
     #[error("worker control unavailable: {0}")]
     Unavailable(String),
-    /// The order may have taken effect.
+    /// The outcome is unknown; the order may have taken effect.
     #[error("worker control gave no answer: {0}")]
     Unknown(String),
-    /// The order names another life or a grant that is over.
+    /// The order names another incarnation or a fencing token that is no longer valid.
     #[error("worker control refused: {0}")]
     Refused(String),
 }
 
-/// The platform's control of workers; every order may be repeated.
+/// The platform's control of workers. All orders are idempotent.
 pub trait Workers: Send + Sync + 'static {
-    /// Keeps new work from an instance.
+    /// Stops an instance from accepting new work.
     fn drain(
         &self,
         instance: &InstanceId,
         order: WorkerOrder,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
-    /// Lets an instance take work again and ends every grant up to this one.
+    /// Lets an instance accept work again and invalidates all fencing tokens up to the order's.
     fn resume(
         &self,
         instance: &InstanceId,
         order: WorkerOrder,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
-    /// Reboots an instance; it comes back in its next life.
+    /// Reboots an instance, which comes back with its next incarnation.
     fn reboot(
         &self,
         instance: &InstanceId,
         order: WorkerOrder,
     ) -> impl Future<Output = Result<(), WorkerError>> + Send;
 
-    /// Looks at some instances; unknown ones are left out.
+    /// Reads the states of some workers. Unknown instances are omitted.
     fn states(
         &self,
         instances: &[InstanceId],
--- a/crates/platform/tests/budget.rs
+++ b/crates/platform/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The append budget of one entry.
+//! The rate limit of appends of one entry.
 
 use std::time::Duration;
 
