--- a/crates/assignment/src/machine.rs
+++ b/crates/assignment/src/machine.rs
@@ -13,11 +13,11 @@
     pub dc: usize,
     /// Number of work slots that run concurrently.
     pub slots: u64,
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: u64,
     /// Memory, in MiB.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accels: u64,
     /// Index of the pool that the machine is in, in [`Problem::specs`](crate::Problem::specs).
     pub pool: usize,
--- a/crates/assignment/src/planner.rs
+++ b/crates/assignment/src/planner.rs
@@ -55,7 +55,8 @@
         self.problem.specs[pool].usable_slots(&self.machines[n])
     }
 
-    /// Whether a machine can leave its pool without violating a hard constraint.
+    /// Whether a machine is movable, has not moved in this plan yet, and can leave its pool
+    /// without violating a hard constraint.
     pub(crate) fn can_leave(&mut self, n: usize) -> bool {
         let machine = &self.machines[n];
         if !machine.is_movable() || self.move_counts[n] > 0 {
--- a/crates/assignment/src/snapshot.rs
+++ b/crates/assignment/src/snapshot.rs
@@ -43,8 +43,8 @@
         let dc = *dcs.entry(&instance.dc).or_insert(next);
         let placed = state.jobs().worker(&instance.id).map_or(0, |w| w.placed);
         let stage = state.disruptions().outage(&instance.id).map(|h| &h.stage);
-        // An instance that is draining for a move counts for its target pool. Otherwise, the planner
-        // would move another instance in its place.
+        // An instance that is draining for a move counts for its target pool. Otherwise, the
+        // planner would move another instance in its place.
         let pool = match stage {
             Some(Stage::Draining(Purpose::Move { to, .. })) => to,
             _ => &instance.pool,
--- a/crates/platform/src/workers.rs
+++ b/crates/platform/src/workers.rs
@@ -19,7 +19,8 @@
 pub enum Activity {
     /// The worker accepts work.
     Serving,
-    /// The worker finishes its work and accepts no more. Holds the fencing token of the drain order.
+    /// The worker finishes its work and accepts no more. Holds the fencing token of the drain
+    /// order.
     Draining(Offset),
     /// The worker is down.
     Down,
@@ -34,7 +35,8 @@
     pub incarnation: Incarnation,
     /// The operating state of the worker.
     pub activity: Activity,
-    /// Number of requests and tasks in flight on the worker; `None` if the worker does not report it.
+    /// Number of requests and tasks in flight on the worker; `None` if the worker does not report
+    /// it.
     pub running: Option<u32>,
 }
 
--- a/crates/scheduling/src/pool_capacity.rs
+++ b/crates/scheduling/src/pool_capacity.rs
@@ -19,8 +19,8 @@
     order: BTreeSet<(Cores, usize)>,
     /// The maximum cores and the maximum memory of any worker, not necessarily of the same one.
     largest: Room,
-    /// Requests for which no worker was found. Free resources only shrink during a round, so a
-    /// request that is at least as large fails too.
+    /// Requests for which no worker was found, except those that excluded workers. Free resources
+    /// only shrink during a round, so a request that is at least as large fails too.
     ///
     /// Without this list, every job in a long queue of large jobs would be searched for in each
     /// round. Limiting the number of searches instead would let large jobs block the small jobs
--- a/crates/scheduling/src/size_estimates.rs
+++ b/crates/scheduling/src/size_estimates.rs
@@ -10,7 +10,7 @@
 
 /// Corrects declared job sizes by the usage that was observed for each team.
 ///
-/// The estimates are kept in memory only and are learnt again after the entry is replaced. A
+/// The estimates are kept in memory only and are learned again after the entry is replaced. A
 /// wrong estimate wastes resources or slows jobs down, but does not affect correctness.
 #[derive(Debug, Default)]
 pub struct SizeEstimates {
