--- a/crates/assignment/src/baseline.rs
+++ b/crates/assignment/src/baseline.rs
@@ -1,32 +1,44 @@
-//! Simple ways to plan, kept to compare against.
+//! Simple planning algorithms, used as baselines for comparison.
 
 use crate::planner::Draft;
 use crate::{Cost, Problem, Reason};
 
-/// Takes spare machines in their order until demand fits after the worst loss.
+/// Adds spare machines in index order until demand fits after the worst failure.
+///
+/// Returns the number of moves, the cost, and the slots missing after the worst failure.
 pub fn first_fit(problem: &Problem) -> (usize, Cost, u64) {
     fill(problem, |draft, pool| {
-        let mut free = draft.free.iter().flatten().copied().collect::<Vec<_>>();
+        let mut free = draft
+            .spare_machines
+            .iter()
+            .flatten()
+            .copied()
+            .collect::<Vec<_>>();
         free.sort_unstable();
-        free.into_iter().find(|n| draft.worth(*n, pool) > 0)
+        free.into_iter().find(|n| draft.usable_slots(*n, pool) > 0)
     })
 }
 
-/// Spreads over racks until demand fits while nothing is lost.
+/// Adds spare machines spread over racks until demand fits without any failure.
+///
+/// Returns the number of moves, the cost, and the slots missing after the worst failure.
 pub fn spread_only(problem: &Problem) -> (usize, Cost, u64) {
     fill(problem, |draft, pool| {
-        let whole = draft.loads[pool].total >= problem.needs[pool].demand;
+        let whole = draft.capacities[pool].total >= problem.specs[pool].demand;
         if whole { None } else { draft.best_free(pool) }
     })
 }
 
-/// Moves, cost, and slots missing after the worst loss.
+/// Adds the machine selected by `pick` to each pool until its demand fits or `pick` returns
+/// `None`.
+///
+/// Returns the number of moves, the cost, and the slots missing after the worst failure.
 fn fill(
     problem: &Problem,
     pick: impl Fn(&Draft<'_>, usize) -> Option<usize>,
 ) -> (usize, Cost, u64) {
     let mut draft = Draft::new(problem);
-    for pool in 0..problem.needs.len() {
+    for pool in 0..problem.specs.len() {
         while draft.deficit(pool) > 0 {
             let Some(n) = pick(&draft, pool) else {
                 break;
@@ -34,6 +46,6 @@
             draft.push(n, pool, Reason::Demand);
         }
     }
-    let missing = (0..problem.needs.len()).map(|pool| draft.deficit(pool));
+    let missing = (0..problem.specs.len()).map(|pool| draft.deficit(pool));
     (draft.moves.len(), draft.cost(), missing.sum())
 }
--- a/crates/assignment/src/problem.rs
+++ b/crates/assignment/src/problem.rs
@@ -1,36 +1,36 @@
-//! What there is to be planned.
+//! The planner's input.
 
-use crate::{Load, Machine, Need, Weights};
+use crate::{Machine, PoolCapacity, PoolSpec, Weights};
 
-/// Instances, pools and what counts how much.
+/// Instances, pools, and the weights and limits of planning.
 #[derive(Debug, Clone, Default)]
 pub struct Problem {
-    /// Instances in a fixed order, which settles ties.
+    /// Instances in a fixed order, which is used to break ties.
     pub machines: Vec<Machine>,
-    /// Pools; [`Machine::pool`] is an index here.
-    pub needs: Vec<Need>,
+    /// Pools; [`Machine::pool`] is an index into this list.
+    pub specs: Vec<PoolSpec>,
     /// Number of racks.
     pub racks: usize,
     /// Number of data centres.
     pub dcs: usize,
-    /// What counts how much.
+    /// Weights of the soft goals.
     pub weights: Weights,
-    /// Most moves in one plan.
+    /// Maximum number of moves in one plan.
     pub max_moves: usize,
 }
 
 impl Problem {
-    /// The load of every pool as it stands.
-    pub fn loads(&self) -> Vec<Load> {
-        let mut loads: Vec<_> = self
-            .needs
+    /// The current capacity of every pool, without lost machines.
+    pub fn capacities(&self) -> Vec<PoolCapacity> {
+        let mut capacities: Vec<_> = self
+            .specs
             .iter()
-            .map(|_| Load::new(self.racks, self.dcs))
+            .map(|_| PoolCapacity::new(self.racks, self.dcs))
             .collect();
         for machine in self.machines.iter().filter(|m| !m.lost) {
-            let worth = self.needs[machine.pool].worth(machine);
-            loads[machine.pool].add(machine, worth);
+            let slots = self.specs[machine.pool].usable_slots(machine);
+            capacities[machine.pool].add(machine, slots);
         }
-        loads
+        capacities
     }
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,18 +1,19 @@
-//! Which waiting job goes to which worker.
+//! Scheduling: assigns queued jobs to workers.
 //!
-//! Decides only. Its placements are proposals: the fold of the log judges them again, so two
-//! planners at work at once cost a refused record and nothing else.
+//! This crate makes decisions only and has no side effects. Placements are proposals, which are
+//! validated again when the log record is applied to the state. If two planners run at the same
+//! time, the only cost is a refused record.
 
-mod lead;
-mod load;
+mod fair_queue;
+mod leader;
 mod planner;
+mod pool_capacity;
 mod proposal;
-mod rooms;
-mod sizes;
-mod turns;
+mod size_estimates;
+mod worker;
 
-pub use lead::leads;
-pub use load::{Slot, WorkerLife};
-pub use planner::{Planner, Weights};
+pub use leader::is_leader;
+pub use planner::{Limits, Planner};
 pub use proposal::Proposal;
-pub use sizes::Sizes;
+pub use size_estimates::SizeEstimates;
+pub use worker::{Candidate, LiveWorker};
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -5,7 +5,7 @@
 
 use cactuswheel_http::{Reply, json, read_json, serve, text};
 use cactuswheel_model::{Incarnation, InstanceId, Offset};
-use cactuswheel_platform::{Appended, Sighting, TaskReport};
+use cactuswheel_platform::{Appended, RosterEntry, TaskReport};
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use tokio::net::TcpListener;
@@ -77,7 +77,7 @@
     }
 
     /// Adds an instance to the roster, or updates its listing.
-    pub fn upsert_instance(&self, sighting: Sighting) {
+    pub fn upsert_instance(&self, sighting: RosterEntry) {
         self.lock().roster.insert(sighting.id.clone(), sighting);
     }
 
@@ -193,7 +193,7 @@
     }
 
     async fn set_roster(&self, request: Request<Incoming>) -> Reply {
-        match read_json::<Sighting>(request.into_body()).await {
+        match read_json::<RosterEntry>(request.into_body()).await {
             Ok(sighting) => self.upsert_instance(sighting),
             Err(e) => return text(StatusCode::BAD_REQUEST, e),
         }
--- a/crates/standin/src/roster.rs
+++ b/crates/standin/src/roster.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use cactuswheel_model::InstanceId;
-use cactuswheel_platform::{Changes, Sighting};
+use cactuswheel_platform::{RosterChanges, RosterEntry};
 
 /// Number of changes kept; a client that is further behind gets the whole list.
 const MAX_CHANGES: usize = 10_000;
@@ -12,7 +12,7 @@
 /// Listed instances, with a history of changed names to answer with changes since a version.
 #[derive(Debug)]
 pub(crate) struct Roster {
-    rows: BTreeMap<InstanceId, Sighting>,
+    rows: BTreeMap<InstanceId, RosterEntry>,
     /// Names of changed instances, oldest change first.
     ///
     /// Invariant: the last element is change number `count`.
@@ -38,12 +38,12 @@
 
 impl Roster {
     /// Returns the listing of an instance.
-    pub(crate) fn get(&self, id: &InstanceId) -> Option<&Sighting> {
+    pub(crate) fn get(&self, id: &InstanceId) -> Option<&RosterEntry> {
         self.rows.get(id)
     }
 
     /// Adds or updates an instance; an identical listing does not count as a change.
-    pub(crate) fn insert(&mut self, id: InstanceId, sighting: Sighting) {
+    pub(crate) fn insert(&mut self, id: InstanceId, sighting: RosterEntry) {
         if self.rows.get(&id) != Some(&sighting) {
             self.record_change(id.clone());
             self.rows.insert(id, sighting);
@@ -51,18 +51,18 @@
     }
 
     /// Removes an instance and returns its last listing.
-    pub(crate) fn remove(&mut self, id: &InstanceId) -> Option<Sighting> {
+    pub(crate) fn remove(&mut self, id: &InstanceId) -> Option<RosterEntry> {
         let sighting = self.rows.remove(id)?;
         self.record_change(id.clone());
         Some(sighting)
     }
 
     /// Returns the changes since a version, or the whole list if the version is unknown or too old.
-    pub(crate) fn changes(&self, since: &str) -> Changes {
+    pub(crate) fn changes(&self, since: &str) -> RosterChanges {
         let version = format!("{:x}-{}", self.start, self.count);
         let Some(changed_ids) = self.changes_since(since) else {
             let listed = self.rows.values().cloned().collect();
-            return Changes {
+            return RosterChanges {
                 version,
                 whole: true,
                 listed,
@@ -79,7 +79,7 @@
             .into_iter()
             .filter_map(|id| self.rows.get(id).cloned());
         let gone = gone.into_iter().cloned().collect();
-        Changes {
+        RosterChanges {
             version,
             whole: false,
             listed: listed.collect(),
--- a/crates/standin/src/tasks.rs
+++ b/crates/standin/src/tasks.rs
@@ -6,7 +6,7 @@
 
 use cactuswheel_http::{Reply, read_json, text};
 use cactuswheel_model::{AttemptEnd, Cores, InstanceId, Room};
-use cactuswheel_platform::{TaskId, TaskNews, TaskOrder, TaskReport};
+use cactuswheel_platform::{TaskEvent, TaskId, TaskOrder, TaskReport};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -124,7 +124,7 @@
                 stop: true,
             };
             inner.tasks.insert(task.clone(), watch::channel(state).0);
-            let news = TaskNews::Ended(AttemptEnd::Refused);
+            let news = TaskEvent::Ended(AttemptEnd::Refused);
             platform.report(&TaskReport { task, news });
         }
         StatusCode::OK
@@ -167,17 +167,17 @@
     } else {
         Cores::new(script.cores)
     };
-    send_report(TaskNews::Usage(Room {
+    send_report(TaskEvent::Usage(Room {
         cores,
         ..order.room
     }));
     if end == AttemptEnd::Stopped && script.checkpoint {
-        send_report(TaskNews::Checkpoint(format!(
+        send_report(TaskEvent::Checkpoint(format!(
             "after attempt {}",
             order.task.attempt
         )));
     }
-    send_report(TaskNews::Ended(end));
+    send_report(TaskEvent::Ended(end));
 }
 
 /// Waits until the task is finished or stopped, or its lease expires.
