--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,25 +1,25 @@
-//! Who may start work now: keys and teams' limits.
+//! Admission control of an entry: denied keys, the limits of teams and fair queueing.
 //!
-//! Decides only; it does no I/O and reads no clock. The daemon asks it for each request and
-//! tells it when the request has ended.
+//! The crate is pure logic: it does no I/O and reads no clock. The daemon calls it to admit each
+//! request and again when the request has ended.
 
 mod contact;
 mod denials;
 mod flow;
-mod gate;
 mod holder;
 mod mean;
 mod mesh;
-mod place;
 mod queue;
+mod queue_request;
 mod shares;
+mod unit_counter;
 
-pub use contact::Contact;
+pub use contact::LastContact;
 pub use denials::Denials;
-pub use gate::Gate;
 pub use holder::Holder;
 pub use mean::Mean;
 pub use mesh::{MeshNode, peers};
-pub use place::Place;
-pub use queue::{Queue, Room};
-pub use shares::{Given, Shares};
+pub use queue::{Concurrency, Queue};
+pub use queue_request::QueueRequest;
+pub use shares::{Shares, TeamUsage};
+pub use unit_counter::UnitCounter;
--- a/crates/cli/src/validate.rs
+++ b/crates/cli/src/validate.rs
@@ -1,4 +1,4 @@
-//! Looking at tickets without an entry.
+//! Validates tickets without contacting an entry.
 
 use std::path::{Path, PathBuf};
 
@@ -9,31 +9,32 @@
 use crate::files::read_ticket;
 use crate::{CliError, Output};
 
-/// What can be said of one file.
+/// Result for one valid file.
 #[derive(Serialize)]
 struct Validated {
     file: PathBuf,
     ticket: u64,
     changes: usize,
-    /// What it refers to beyond the files before it; only an entry knows whether that exists.
+    /// A reference to an object that no earlier file adds; only an entry knows whether the object
+    /// exists.
     needs: Option<String>,
 }
 
-/// Reads tickets and applies them in order to an empty fleet.
+/// Reads tickets and applies them in order to the state of an empty fleet.
 pub(crate) fn validate(files: &[PathBuf]) -> Result<Output, CliError> {
     let mut state = State::default();
     let rows = files
         .iter()
-        .map(|file| one(&mut state, file))
+        .map(|file| validate_file(&mut state, file))
         .collect::<Result<Vec<_>, _>>()?;
-    let lines: Vec<_> = rows.iter().map(line).collect();
+    let lines: Vec<_> = rows.iter().map(describe).collect();
     Output::new(lines.join("\n"), &rows)
 }
 
-fn one(state: &mut State, file: &Path) -> Result<Validated, CliError> {
+fn validate_file(state: &mut State, file: &Path) -> Result<Validated, CliError> {
     let ticket = read_ticket(file)?;
     let (number, changes) = (ticket.ticket.get(), ticket.changes.len());
-    let needs = try_on(state, ticket, file)?;
+    let needs = apply_ticket(state, ticket, file)?;
     Ok(Validated {
         file: file.into(),
         ticket: number,
@@ -42,7 +43,11 @@
     })
 }
 
-fn try_on(state: &mut State, ticket: Ticket, file: &Path) -> Result<Option<String>, CliError> {
+fn apply_ticket(
+    state: &mut State,
+    ticket: Ticket,
+    file: &Path,
+) -> Result<Option<String>, CliError> {
     let body = serde_json::to_string(&Record::Ticket(ticket));
     let body = body.map_err(|e| CliError::file(file, e))?;
     let outcome = match state.apply(state.next(), &body) {
@@ -60,7 +65,7 @@
     }
 }
 
-fn line(row: &Validated) -> String {
+fn describe(row: &Validated) -> String {
     let (file, number, changes) = (row.file.display(), row.ticket, row.changes);
     match &row.needs {
         None => format!("{file}: ticket {number}, {changes} changes, usable"),
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -5,36 +5,36 @@
 
 use cactuswheel_model::{PoolId, Time};
 
-use crate::health::Standing;
+use crate::health::HealthState;
 use crate::{Lease, Nearness, RetryBudget, Upstream};
 
-/// What a pool keeps while its upstreams come and go.
+/// The state of a pool that persists when its upstreams change.
 #[derive(Debug, Default)]
-pub(crate) struct Kept {
-    /// Retries of requests to the pool.
+pub(crate) struct SharedState {
+    /// The retry budget of requests to the pool.
     pub(crate) budget: RetryBudget,
-    /// Held while an ejection is decided, so that two at once cannot pass the bound.
-    turn: Mutex<()>,
+    /// Held while an ejection is decided, so that two concurrent ejections cannot exceed the bound.
+    ejection_lock: Mutex<()>,
 }
 
-/// Upstreams by how near they are.
+/// The upstreams of a pool, grouped by nearness.
 #[derive(Debug)]
 pub(crate) struct Pool<C> {
     pub(crate) id: PoolId,
-    /// Nearest first.
+    /// Groups of upstreams, nearest first.
     ///
-    /// Invariant: none is empty.
+    /// Invariant: no group is empty.
     tiers: Vec<(Nearness, Vec<Arc<Upstream<C>>>)>,
-    pub(crate) kept: Arc<Kept>,
+    pub(crate) shared: Arc<SharedState>,
 }
 
 impl<C> Pool<C> {
-    /// A pool without upstreams.
-    pub(crate) fn new(id: PoolId, kept: Arc<Kept>) -> Self {
+    /// Creates a pool without upstreams.
+    pub(crate) fn new(id: PoolId, shared: Arc<SharedState>) -> Self {
         Self {
             id,
             tiers: Vec::new(),
-            kept,
+            shared,
         }
     }
 
@@ -51,30 +51,32 @@
         self.tiers.iter().flat_map(|(_, tier)| tier)
     }
 
-    /// Takes a slot in the nearest tier that has one.
+    /// Acquires a slot in the nearest tier that has a free one, from an upstream not in `tried`.
     pub(crate) fn pick(
         self: &Arc<Self>,
         tried: &[Arc<Upstream<C>>],
         now: Time,
         draw: u64,
     ) -> Option<Lease<C>> {
-        let fresh = |u: &Arc<Upstream<C>>| !tried.iter().any(|t| Arc::ptr_eq(t, u));
+        let untried = |u: &Arc<Upstream<C>>| !tried.iter().any(|t| Arc::ptr_eq(t, u));
         let mut tiers = self.tiers.iter();
-        tiers.find_map(|(_, tier)| self.pick_in(tier, fresh, now, draw))
+        tiers.find_map(|(_, tier)| self.pick_in_tier(tier, untried, now, draw))
     }
 
-    /// The cheaper of two random upstreams; if both are full, the first that is not.
+    /// Acquires a slot at the cheaper of two random upstreams, or at the first other one that has a
+    /// free slot if both are full.
     ///
-    /// Two choices keep the load nearly even without a look at every upstream, and unlike the
-    /// least loaded of all they don't send every entry to the same one.
-    fn pick_in(
+    /// Two random choices keep the load nearly even without examining every upstream, and unlike
+    /// picking the least loaded one they do not send the requests of all entries to the same
+    /// upstream.
+    fn pick_in_tier(
         self: &Arc<Self>,
         tier: &[Arc<Upstream<C>>],
-        fresh: impl Fn(&Arc<Upstream<C>>) -> bool,
+        untried: impl Fn(&Arc<Upstream<C>>) -> bool,
         now: Time,
         draw: u64,
     ) -> Option<Lease<C>> {
-        let [one, other] = two(tier.len(), draw);
+        let [one, other] = two_indices(tier.len(), draw);
         let (mut best, mut second) = (&tier[one], &tier[other]);
         if second.cost(now) < best.cost(now) {
             (best, second) = (second, best);
@@ -83,36 +85,36 @@
         [best, second]
             .into_iter()
             .chain(rest)
-            .filter(|u| fresh(u))
-            .find_map(|u| Lease::take(u, self, now))
+            .filter(|u| untried(u))
+            .find_map(|u| Lease::try_acquire(u, self, now))
     }
 
-    /// Whether `upstream` may be ejected.
+    /// Ejects `upstream` unless too many upstreams of the pool are unhealthy.
     ///
-    /// At most half of a pool is out or on trial at once. A failure that all upstreams share
-    /// would otherwise eject the whole pool, and callers would be refused by upstreams that
-    /// nobody asks any more.
+    /// At most half of a pool is ejected or probing at once. Otherwise a failure common to all
+    /// upstreams would eject the whole pool, and callers would be refused without any upstream
+    /// being tried.
     pub(crate) fn eject(&self, upstream: &Upstream<C>, now: Time) {
-        let _turn = self
-            .kept
-            .turn
+        let _lock = self
+            .shared
+            .ejection_lock
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        match upstream.standing(now) {
-            Standing::Ejected => return,
-            Standing::Trial => return upstream.health.eject(now),
-            Standing::Fit => {}
+        match upstream.health_state(now) {
+            HealthState::Ejected => return,
+            HealthState::Probing => return upstream.health.eject(now),
+            HealthState::Healthy => {}
         }
         let all = self.upstreams().count();
-        let unfit = self
+        let unhealthy = self
             .upstreams()
-            .filter(|u| u.standing(now) != Standing::Fit);
-        if unfit.count() < all / 2 {
+            .filter(|u| u.health_state(now) != HealthState::Healthy);
+        if unhealthy.count() < all / 2 {
             upstream.health.eject(now);
         }
     }
 
-    /// Recent time to the head of an answer, on average over the upstreams.
+    /// Recent time to the head of a response, averaged over the upstreams.
     pub(crate) fn latency(&self, now: Time) -> Duration {
         let (mut sum, mut count) = (0, 0);
         for upstream in self.upstreams() {
@@ -122,14 +124,14 @@
         Duration::from_micros(sum / u64::max(count, 1))
     }
 
-    /// Slots that may be counted on at `now`, taken ones included.
+    /// Slots that this entry may use at `now`, including those in use.
     pub(crate) fn usable(&self, now: Time) -> u32 {
         self.upstreams().map(|u| u.usable(now)).sum()
     }
 }
 
-/// Two indices below `len`, different if there are two.
-fn two(len: usize, draw: u64) -> [usize; 2] {
+/// Returns two indices below `len`, which differ if `len` is at least two.
+fn two_indices(len: usize, draw: u64) -> [usize; 2] {
     let scale = |r: u64, len: usize| ((r * len as u64) >> 32) as usize;
     let one = scale(draw >> 32, len);
     if len < 2 {
