--- a/crates/model/src/attempt.rs
+++ b/crates/model/src/attempt.rs
@@ -1,9 +1,9 @@
-//! Attempts at a job.
+//! Attempts to run a job.
 
 use crate::number::number;
 
 number! {
-    /// Counts the placements of one job; doubles as the fencing token of its task.
+    /// Number of a job's placement on a worker, which also serves as the fencing token of its task.
     Attempt(u32)
 }
 
--- a/crates/model/src/change.rs
+++ b/crates/model/src/change.rs
@@ -1,4 +1,4 @@
-//! What a ticket changes.
+//! Changes that a ticket makes to the configured objects.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,27 +10,27 @@
     Team, TeamId,
 };
 
-/// The whole new state of one object, or its removal.
+/// The complete new state of one object, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// Sets a data centre.
+    /// Creates or replaces a data centre.
     Dc(DataCentre),
-    /// Sets a pool.
+    /// Creates or replaces a pool.
     Pool(Pool),
-    /// Sets a service.
+    /// Creates or replaces a service.
     Service(Service),
-    /// Sets a team.
+    /// Creates or replaces a team.
     Team(Team),
-    /// Sets a key.
+    /// Creates or replaces a team's key.
     Key(KeyGrant),
-    /// Sets an instance.
+    /// Creates or replaces an instance.
     Instance(Instance),
     /// Removes an object.
     Remove(ObjectId),
 }
 
-/// Names one object of any kind.
+/// Identifies an object of any kind.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ObjectId {
@@ -42,14 +42,14 @@
     Service(ServiceId),
     /// A team.
     Team(TeamId),
-    /// A key, by its digest.
+    /// A team's key, identified by its digest.
     Key(Digest),
     /// An instance.
     Instance(InstanceId),
 }
 
 impl Change {
-    /// The object that this change touches.
+    /// The object that this change sets or removes.
     pub fn object(&self) -> ObjectId {
         match self {
             Self::Dc(x) => ObjectId::Dc(x.id.clone()),
@@ -63,7 +63,7 @@
     }
 }
 
-/// Text that names no object.
+/// Error for a string that is not a valid object path.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "`{0}` names no object: takes KIND/NAME, KIND one of dc, pool, service, team, key, instance"
@@ -71,7 +71,7 @@
 pub struct ParseObjectError(String);
 
 impl ObjectId {
-    /// Kind and name as they stand in the administration API, such as `pool/render`.
+    /// Path of the object in the administration API: kind and name, such as `pool/render`.
     pub fn path(&self) -> String {
         self.to_string().replacen(' ', "/", 1)
     }
--- a/crates/model/src/code.rs
+++ b/crates/model/src/code.rs
@@ -1,19 +1,21 @@
-//! Numbered result codes; the table for readers is `docs/CODES.md`.
+//! Numbered result codes, documented for users in `docs/CODES.md`.
 
 use std::fmt;
 
 use crate::Ran;
 
-/// Declares the codes once: meaning, variant, number, HTTP status, run state, text, advice.
+/// Declares the codes: meaning, variant, number, HTTP status, execution state, text and advice.
+///
+/// The doc comment of a variant is also what [`Code::meaning`] returns.
 macro_rules! codes {
     ($(
         $(#[doc = $doc:literal])+
         $name:ident = $number:literal, $status:literal, $ran:ident, $text:literal
         $(, $advice:literal)?;
     )*) => {
-        /// A numbered result.
+        /// A numbered result code.
         ///
-        /// Numbers are stable: a retired one is not given to another meaning.
+        /// Numbers are stable: the number of a removed code is never reused.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(u16)]
         pub enum Code {
@@ -21,31 +23,31 @@
         }
 
         impl Code {
-            /// Every code, in order of its number.
+            /// All codes, in the order of their numbers.
             pub const ALL: &[Self] = &[$(Self::$name,)*];
 
-            /// HTTP status that carries this code.
+            /// HTTP status of responses with this code.
             pub const fn status(self) -> u16 {
                 match self {
                     $(Self::$name => $status,)*
                 }
             }
 
-            /// Whether the request ran, as far as this code tells.
+            /// What this code tells about the execution of the request.
             pub const fn ran(self) -> Ran {
                 match self {
                     $(Self::$name => Ran::$ran,)*
                 }
             }
 
-            /// One line for people.
+            /// One-line human-readable text.
             pub const fn text(self) -> &'static str {
                 match self {
                     $(Self::$name => $text,)*
                 }
             }
 
-            /// What it means, as a sentence.
+            /// Meaning of the code, as a sentence.
             pub fn meaning(self) -> &'static str {
                 let text = match self {
                     $(Self::$name => concat!($($doc),+),)*
@@ -53,7 +55,7 @@
                 text.trim_start()
             }
 
-            /// What whoever got it should do; empty only while a new code has no advice yet.
+            /// Advice for the recipient; empty only until advice for a new code is written.
             pub const fn advice(self) -> &'static str {
                 match self {
                     $(Self::$name => concat!($($advice)?),)*
@@ -208,7 +210,7 @@
         "object is still referred to",
         "Remove or change what refers to it in the same ticket.";
 
-    // Printed by the programs themselves; no HTTP answer carries these.
+    // Printed by the programs themselves; no HTTP response carries these codes.
     /// The settings cannot be used.
     BadSettings = 501, 400, NotRun,
         "settings cannot be used",
@@ -290,12 +292,12 @@
 }
 
 impl Code {
-    /// The code's number.
+    /// Number of the code.
     pub const fn number(self) -> u16 {
         self as u16
     }
 
-    /// The code with this number.
+    /// The code with the number `n`, if there is one.
     pub fn from_number(n: u16) -> Option<Self> {
         Self::ALL.iter().copied().find(|c| c.number() == n)
     }
--- a/crates/model/src/dc.rs
+++ b/crates/model/src/dc.rs
@@ -4,12 +4,12 @@
 
 use crate::{DcId, RegionId};
 
-/// A data centre, the unit that a network partition cuts off.
+/// A data centre. Network partitions are expected to separate whole data centres.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentre {
-    /// Its name.
+    /// Name of the data centre.
     pub id: DcId,
-    /// The region it belongs to.
+    /// Region that the data centre belongs to.
     pub region: RegionId,
 }
--- a/crates/model/src/denial.rs
+++ b/crates/model/src/denial.rs
@@ -1,18 +1,18 @@
-//! Withdrawals of keys outside tickets.
+//! Withdrawal of keys without a ticket.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Digest, OperatorId};
 
-/// An operator's word that a key is withdrawn, given at any entry.
+/// An operator's withdrawal of a key, accepted by any entry.
 ///
-/// It only takes authority away, so it needs no agreement: it holds wherever it is heard, and
-/// the log remembers it once it gets there.
+/// A denial only removes authority, so it needs no consensus: every entry that receives it
+/// applies it, and it becomes durable once it is appended to the log.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Denial {
-    /// Digest of the key.
+    /// Digest of the withdrawn key.
     pub digest: Digest,
-    /// Who withdrew it.
+    /// Operator who withdrew the key.
     pub by: OperatorId,
 }
--- a/crates/model/src/digest.rs
+++ b/crates/model/src/digest.rs
@@ -7,33 +7,33 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use subtle::ConstantTimeEq;
 
-/// Bytes in a digest.
+/// Length of a digest, in bytes.
 const LEN: usize = 32;
 
 /// A BLAKE3 digest.
 ///
-/// Keys are kept and compared as digests only, so no key can leak through state, a log line
-/// or the audit trail.
+/// Keys are stored and compared only as digests, so no key can leak through the replicated
+/// state, a log line or the audit trail.
 #[derive(Debug, Clone, Copy, PartialOrd, Ord)]
 pub struct Digest([u8; LEN]);
 
-/// Text that is not a digest.
+/// Error for a string that is not a valid digest.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a digest is 64 hexadecimal digits")]
 pub struct ParseDigestError;
 
 impl Digest {
-    /// Digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// The digest with these bytes, if there are as many as it has.
+    /// Creates a digest from its raw bytes; `None` unless there are exactly 32.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 
-    /// The digest's bytes.
+    /// The raw bytes of the digest.
     pub fn as_bytes(&self) -> &[u8; LEN] {
         &self.0
     }
@@ -41,8 +41,9 @@
 
 /// Compares in constant time.
 ///
-/// Failure: a comparison that stops at the first difference tells a caller, by its timing, how
-/// far a guessed key agrees. The digest already hides that; comparing all bytes removes the rest.
+/// The duration of a comparison that stops at the first difference tells a caller how many
+/// leading bytes of a guess are right. Comparing digests instead of keys already hides this for
+/// the key itself; comparing all bytes hides it for the digest too.
 impl PartialEq for Digest {
     fn eq(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
--- a/crates/model/src/disruption.rs
+++ b/crates/model/src/disruption.rs
@@ -4,62 +4,65 @@
 
 use crate::{EntryId, Incarnation, InstanceId, Offset, PoolId, WaveNo};
 
-/// A proposal about one instance's availability.
+/// A proposed step of an outage of one instance.
 ///
-/// A grant is named by its fence, the offset of the record that made it. Every later step
-/// names the fence, so a step that belongs to a grant long gone is told apart.
+/// A grant is identified by its fencing token, the offset of the record that created it. Every
+/// later step carries this token, so a step of a grant that no longer exists is recognised as
+/// stale.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Disruption {
-    /// Asks for a grant: the instance gets no new work and occupies the budget.
+    /// Requests a grant. A granted instance gets no new work and counts against the disruption
+    /// budget.
     Take {
         /// The instance.
         instance: InstanceId,
-        /// The life that the grant is for.
+        /// Incarnation of the instance that the grant applies to.
         incarnation: Incarnation,
-        /// What is to be done with it.
+        /// Action that the grant is requested for.
         purpose: Purpose,
-        /// Who asks, for the audit trail; any entry may carry the grant out.
+        /// Entry that requests the grant, for the audit trail; any entry may drive the outage.
         holder: EntryId,
     },
-    /// The instance is drained: from here on the action may happen at any moment.
+    /// The instance is drained. After this record the action may start at any time.
     ///
-    /// For a move this record is the switch to the other pool.
+    /// For a move, this record assigns the instance to the other pool.
     Commit {
         /// The instance.
         instance: InstanceId,
-        /// The grant.
+        /// Fencing token of the grant.
         fence: Offset,
     },
-    /// Gives back a grant that was not committed.
+    /// Releases a grant that was not committed.
     Cancel {
         /// The instance.
         instance: InstanceId,
-        /// The grant.
+        /// Fencing token of the grant.
         fence: Offset,
-        /// Whether since its work ran too long: the instance is then tried again later.
+        /// Whether the reason is that draining timed out because of running work; the outage is
+        /// then postponed.
         #[serde(default)]
         busy: bool,
     },
-    /// The instance was seen healthy after the outage that `fence` names.
+    /// The instance was seen healthy after the outage that `fence` identifies.
     Back {
         /// The instance.
         instance: InstanceId,
-        /// The grant, or the report of the loss.
+        /// Fencing token of the grant, or offset of the record that reported the loss.
         fence: Offset,
-        /// The life seen healthy.
+        /// Incarnation that was seen healthy.
         incarnation: Incarnation,
     },
-    /// The instance is gone, unplanned.
+    /// The instance failed without a planned outage.
     Lost {
         /// The instance.
         instance: InstanceId,
-        /// The newest life that the reporter knows of.
+        /// Newest incarnation that the reporter knows.
         incarnation: Incarnation,
     },
 }
 
-/// What a grant is for.
+/// Action that a grant allows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Purpose {
@@ -67,15 +70,15 @@
     Reboot(WaveNo),
     /// A move to another pool.
     Move {
-        /// The pool that it leaves.
+        /// Pool that the instance leaves.
         from: PoolId,
-        /// The pool that it joins.
+        /// Pool that the instance joins.
         to: PoolId,
     },
 }
 
 impl Disruption {
-    /// The instance that it is about.
+    /// The instance that this step applies to.
     pub fn instance(&self) -> &InstanceId {
         match self {
             Self::Take { instance, .. }
--- a/crates/model/src/holding.rs
+++ b/crates/model/src/holding.rs
@@ -1,65 +1,69 @@
-//! Records by which entries hold parts of teams' limits.
+//! Records with which entries claim, report and release units of the teams' limits.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{DcId, LifeId, Offset, TeamId, Timing};
 
-/// What a life of an entry says about itself or about another one of its data centre.
+/// A report of one life of an entry about itself or about another life in its data centre.
 ///
-/// No record hands out units: the fold does, from what the records say.
+/// No record allots units. The replicated state computes the allotments when it applies the
+/// records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Holding {
-    /// A new life asks to hold units; earlier lives of its name are revoked.
+    /// A new life asks for units; earlier lives of the same entry in this data centre are
+    /// revoked.
     Join {
-        /// Who.
+        /// The new life.
         life: LifeId,
-        /// Its data centre.
+        /// Data centre of the life.
         dc: DcId,
-        /// The times that it binds itself to.
+        /// Time limits that the life keeps to.
         timing: Timing,
     },
-    /// What a life wants and what it still uses.
+    /// A life reports how many units it wants and how many it uses.
     Usage {
-        /// Who.
+        /// The reporting life.
         life: LifeId,
-        /// One row a team, only for teams with news.
+        /// One row per team, only for teams whose figures changed.
         rows: Vec<Usage>,
     },
-    /// A life has nothing running and starts nothing more.
+    /// A life has no running requests and will start none.
     Leave {
-        /// Who.
+        /// The leaving life.
         life: LifeId,
     },
-    /// A peer of the same data centre does not hear a life any more.
+    /// A peer in the same data centre no longer receives heartbeats of a life.
     Revoke {
-        /// Who is not heard.
+        /// The silent life.
         life: LifeId,
-        /// Who says so.
+        /// The peer that reports it.
         by: LifeId,
     },
-    /// A peer of the same data centre knows that a revoked life has nothing running.
+    /// A peer in the same data centre confirms that a revoked life has no running requests, as
+    /// far as that peer can tell.
     Witness {
-        /// Who was revoked.
+        /// The revoked life.
         life: LifeId,
-        /// Who says so.
+        /// The peer that confirms it.
         by: LifeId,
-        /// The record from whose reading the time was counted.
+        /// Offset of the record that started the wait: the peer measured from when it read it.
         since: Offset,
-        /// Whether the time without the log alone proves it, counted from the revocation.
+        /// Whether [`Timing::quiet_cut`] has passed since the revocation, which is proof without
+        /// the confirmation of any other peer.
         cut: bool,
     },
 }
 
-/// A life's news of one team.
+/// Demand and usage of one team at one life of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// The team.
     pub team: TeamId,
-    /// Units that its demand here could use.
+    /// Units that the team's demand at this entry could use.
     pub want: u32,
-    /// Units in use, those of requests with unknown outcome too.
+    /// Units in use, including those of requests with unknown outcome.
     pub used: u32,
-    /// The allotment that the life obeyed when it counted.
+    /// Offset that identifies the allotment in force at the life when it counted.
     pub epoch: Offset,
 }
--- a/crates/model/src/incarnation.rs
+++ b/crates/model/src/incarnation.rs
@@ -1,8 +1,9 @@
-//! Successive lives of one instance.
+//! Incarnations of an instance.
 
 use crate::number::number;
 
 number! {
-    /// Counts the starts of an instance; raised by the platform at every reboot or replacement.
+    /// Number of a start of an instance; the platform increments it at every reboot or
+    /// replacement.
     Incarnation(u64)
 }
--- a/crates/model/src/instance.rs
+++ b/crates/model/src/instance.rs
@@ -1,30 +1,30 @@
-//! Instances.
+//! Instances of the fleet.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Cores, DcId, InstanceId, Mebibytes, PoolId, RackId, Slots};
 
-/// An instance of the supplier's stock: where it landed, what it has, what it serves.
+/// An instance from the infrastructure supplier: its location, resources and pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// The one pool it belongs to.
+    /// Pool that the instance belongs to; always exactly one.
     pub pool: PoolId,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub dc: DcId,
-    /// Its rack, a failure domain within the data centre.
+    /// Rack of the instance, a failure domain within the data centre.
     pub rack: RackId,
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: Cores,
-    /// Memory.
+    /// Memory, in MiB.
     pub memory: Mebibytes,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accels: u32,
-    /// Requests that it runs at once as an upstream.
+    /// Maximum number of requests that the instance runs at once as an upstream.
     pub slots: Slots,
-    /// Connections that it accepts, from all entries together.
+    /// Maximum number of connections that the instance accepts from all entries together.
     pub conns: u32,
 }
--- a/crates/model/src/job_event.rs
+++ b/crates/model/src/job_event.rs
@@ -1,61 +1,62 @@
-//! What happens to jobs.
+//! Events of jobs.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Attempt, Incarnation, InstanceId, JobId, JobSpec, Offset, Room};
 
-/// A proposal about one job.
+/// A proposed event of a job, or progress in reading the workers' reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobEvent {
-    /// A submission.
+    /// The job is submitted.
     Submit {
         /// The job.
         job: JobId,
-        /// What is asked for.
+        /// Description of the job.
         spec: JobSpec,
-        /// When, in milliseconds of wall-clock time at the entry that took it.
+        /// Time of submission, in milliseconds of wall-clock time at the entry that accepted it.
         at: u64,
     },
-    /// A placement on one life of a worker.
+    /// The job is placed on one incarnation of a worker.
     Place {
         /// The job.
         job: JobId,
-        /// The next attempt; makes two planners' placements exclude each other.
+        /// Number of the new attempt; of two planners that place the same attempt, only one
+        /// succeeds.
         attempt: Attempt,
         /// The worker.
         worker: InstanceId,
-        /// Its life; another life refuses the task.
+        /// Incarnation of the worker; any other incarnation refuses the task.
         incarnation: Incarnation,
-        /// What is set aside for it, by its description and by experience.
+        /// Resources reserved for the job, from its description and from past usage.
         room: Room,
     },
-    /// A checkpoint that the worker has stored.
+    /// The worker has stored a checkpoint.
     Checkpoint {
         /// The job.
         job: JobId,
         /// The attempt.
         attempt: Attempt,
-        /// Where to run on from, in the worker's terms.
+        /// Position to resume from, in the worker's own format.
         mark: String,
     },
-    /// The end of an attempt.
+    /// An attempt has ended.
     End {
         /// The job.
         job: JobId,
         /// The attempt.
         attempt: Attempt,
-        /// How it ended.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// A cancellation by the submitter.
+    /// The submitter cancels the job.
     Cancel {
         /// The job.
         job: JobId,
     },
-    /// How far the workers' reports have been taken over.
+    /// The workers' reports have been processed up to an offset.
     Reports {
-        /// The next report to read.
+        /// Offset of the next report to read.
         next: Offset,
     },
 }
@@ -64,14 +65,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptEnd {
-    /// The task came to its end.
+    /// The task completed.
     Done,
     /// The task failed.
     Failed,
-    /// The worker never started it: proof that it did not run.
+    /// The worker refused to start the task, which proves that it did not run.
     Refused,
-    /// It was stopped on request or because its lease lapsed.
+    /// The task was stopped on request or because its lease expired.
     Stopped,
-    /// The worker's life ended under it.
+    /// The worker's incarnation ended while the task was running.
     Lost,
 }
--- a/crates/model/src/job_id.rs
+++ b/crates/model/src/job_id.rs
@@ -1,4 +1,4 @@
-//! Names of jobs.
+//! Identifiers of jobs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 
 use crate::{JobName, ParseIdError, TeamId};
 
-/// A job: the team and the idempotency key that its submitter chose.
+/// Identifier of a job: its team and the idempotency key that the submitter chose.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId {
-    /// The team that submitted it.
+    /// Team that submitted the job.
     pub team: TeamId,
     /// The submitter's idempotency key, unique within the team.
     pub name: JobName,
--- a/crates/model/src/job_spec.rs
+++ b/crates/model/src/job_spec.rs
@@ -1,37 +1,37 @@
-//! What a submitter asks for.
+//! Descriptions of jobs.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{PoolId, Room};
 
-/// A job as its submitter described it.
+/// Description of a job by its submitter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
-    /// The pool whose workers may run it.
+    /// Pool whose workers may run the job.
     pub pool: PoolId,
-    /// What it says it takes up; often far off.
+    /// Resources that the submitter requests; often far from the actual usage.
     pub room: Room,
-    /// Whether it is placed before all that is not urgent.
+    /// Whether the job is placed before all jobs that are not urgent.
     #[serde(default)]
     pub urgent: bool,
-    /// What may be done after an attempt was lost.
+    /// How the job may be retried after a lost attempt.
     #[serde(default)]
     pub retry: Retry,
-    /// What the worker is to do; not looked into.
+    /// Instructions for the worker, which are passed on without being parsed.
     #[serde(default)]
     pub payload: String,
 }
 
-/// What may be done after an attempt was lost.
+/// How a job may be retried after a lost attempt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Retry {
-    /// Nothing: the job is not idempotent, its outcome stays unknown.
+    /// No retry: the job is not idempotent, so its outcome stays unknown.
     #[default]
     Never,
-    /// Run again from the start: the job is idempotent.
+    /// Run the job again from the start: it is idempotent.
     Restart,
-    /// Run on from the last checkpoint.
+    /// Resume the job from its last checkpoint.
     Resume,
 }
--- a/crates/model/src/key_grant.rs
+++ b/crates/model/src/key_grant.rs
@@ -1,20 +1,20 @@
-//! Keys of teams.
+//! API keys of teams.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Digest, TeamId};
 
-/// One key of a team.
+/// An API key of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyGrant {
     /// Digest of the key; the key itself is never stored.
     pub digest: Digest,
-    /// The team that the key speaks for.
+    /// Team that the key authenticates.
     pub team: TeamId,
     /// Whether the key was withdrawn.
     ///
-    /// Invariant: never goes back to `false`; a team gets a new key instead.
+    /// Invariant: once `true`, it stays `true`; the team gets a new key instead.
     #[serde(default)]
     pub withdrawn: bool,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,8 @@
-//! The vocabulary of cactuswheel: identifiers, sizes, result codes, the objects that
-//! operators describe and the records that go through the platform's log.
+//! Data types shared by all cactuswheel crates: identifiers, sizes, result codes, the objects
+//! that operators configure and the records that are appended to the platform's log.
 //!
-//! Plain data only. This crate decides nothing, does no I/O and reads no clock; the rules
-//! that accept or refuse a record live in `cactuswheel-fleet`.
+//! This crate holds plain data only. It makes no decisions, does no I/O and reads no clock; the
+//! rules that accept or refuse a record are in `cactuswheel-fleet`.
 
 mod attempt;
 mod change;
--- a/crates/model/src/life_id.rs
+++ b/crates/model/src/life_id.rs
@@ -1,4 +1,4 @@
-//! Lives of entries.
+//! Lives of entries: one per process start.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,25 +7,25 @@
 
 use crate::EntryId;
 
-/// One life of an entry: its name and a number drawn at its start.
+/// Identifier of one life of an entry: the entry's name and a random number drawn at its start.
 ///
-/// An entry keeps nothing, so after a replacement the same name runs with an empty memory
-/// while work that the earlier life started may still run. The number keeps the two apart.
+/// An entry stores no state, so a replacement starts under the same name without any, while
+/// work that the earlier life started may still be running. The number distinguishes the two.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifeId {
-    /// The entry.
+    /// Name of the entry.
     pub entry: EntryId,
-    /// Random; no two lives of one entry share it.
+    /// Random number; different for every life of the entry.
     pub nonce: u64,
 }
 
-/// Text that names no life.
+/// Error for a string that is not a valid life identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a life is ENTRY:NUMBER with the number in hexadecimal")]
 pub struct ParseLifeError;
 
 impl LifeId {
-    /// The life of `entry` that drew `nonce`.
+    /// Creates the identifier of the life of `entry` that drew `nonce`.
     pub fn new(entry: EntryId, nonce: u64) -> Self {
         Self { entry, nonce }
     }
--- a/crates/model/src/map.rs
+++ b/crates/model/src/map.rs
@@ -1,7 +1,7 @@
 //! Hash collections with a fast hasher.
 //!
-//! Keys that callers choose are only ever looked up in these maps, never inserted, so the
-//! hasher's weakness against chosen keys gives a caller no leverage.
+//! The hasher is unseeded, so chosen keys can be made to collide. Keys that callers choose are
+//! only looked up in these maps and never inserted, so a caller cannot cause such collisions.
 
 use std::collections::{HashMap, HashSet};
 
--- a/crates/model/src/millis.rs
+++ b/crates/model/src/millis.rs
@@ -1,16 +1,16 @@
-//! Spans of time in settings.
+//! Durations in settings.
 
 use std::time::Duration;
 
 use crate::number::number;
 
 number! {
-    /// A span of time, in milliseconds.
+    /// A duration, in milliseconds.
     Millis(u64)
 }
 
 impl Millis {
-    /// The same span as a [`Duration`].
+    /// Converts to a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
--- a/crates/model/src/moves.rs
+++ b/crates/model/src/moves.rs
@@ -4,25 +4,25 @@
 
 use crate::{InstanceId, OperatorId, PoolId};
 
-/// The whole list of moves that are wanted; it replaces the one before.
+/// The complete list of wanted moves, which replaces the previous list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Moves {
-    /// The moves, those to start first first; no instance twice.
+    /// The moves in the order in which to start them; each instance at most once.
     pub moves: Vec<WantedMove>,
-    /// Who put it so; set by the entry from the operator's key.
+    /// Operator who submitted the list; set by the entry from the operator's key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub author: Option<OperatorId>,
 }
 
-/// One instance to another pool.
+/// A wanted move of one instance to another pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WantedMove {
     /// The instance.
     pub instance: InstanceId,
-    /// The pool that it leaves.
+    /// Pool that the instance leaves.
     pub from: PoolId,
-    /// The pool that it joins.
+    /// Pool that the instance joins.
     pub to: PoolId,
 }
--- a/crates/model/src/number.rs
+++ b/crates/model/src/number.rs
@@ -1,6 +1,6 @@
-//! One shape for every newtype over an unsigned number.
+//! Macro that declares newtypes over unsigned integers.
 
-/// Declares a number newtype with `new`, `get`, `Display` and `FromStr`.
+/// Declares an integer newtype with `new`, `get`, `Display` and `FromStr`.
 macro_rules! number {
     ($(#[$doc:meta])* $name:ident($int:ty)) => {
         $(#[$doc])*
@@ -21,12 +21,12 @@
         pub struct $name($int);
 
         impl $name {
-            /// Wraps a plain number.
+            /// Wraps an integer.
             pub const fn new(n: $int) -> Self {
                 Self(n)
             }
 
-            /// The plain number.
+            /// The wrapped integer.
             pub const fn get(self) -> $int {
                 self.0
             }
--- a/crates/model/src/pool.rs
+++ b/crates/model/src/pool.rs
@@ -4,15 +4,15 @@
 
 use crate::PoolId;
 
-/// A pool: instances that serve the same services.
+/// A pool of instances that serve the same services.
 ///
-/// Membership is an attribute of the instance, so no instance can be in two pools.
+/// Each instance names its pool, so no instance can be in two pools.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub id: PoolId,
-    /// Whether its instances may be moved to other pools to make room there.
+    /// Whether instances may be moved from this pool to pools that lack capacity.
     #[serde(default)]
     pub spare: bool,
 }
--- a/crates/model/src/ran.rs
+++ b/crates/model/src/ran.rs
@@ -1,18 +1,18 @@
-//! Whether a request ran.
+//! Execution state of a request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of a request's execution when its answer goes out.
+/// What is known about the execution of a request when its response is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// It never reached an upstream, or the upstream itself said that it did not run it.
+    /// The request never reached an upstream, or the upstream reported that it did not run it.
     NotRun,
-    /// The upstream's whole answer arrived.
+    /// The complete response of the upstream arrived.
     Ran,
-    /// It was handed to a connection and no proof either way came back.
+    /// The request was handed to a connection, and nothing proves whether it ran.
     Unknown,
 }
 
--- a/crates/model/src/record.rs
+++ b/crates/model/src/record.rs
@@ -4,24 +4,26 @@
 
 use crate::{Denial, Disruption, Holding, JobEvent, Moves, SnapshotMark, Ticket, Wave};
 
-/// One record: a proposal that the fold accepts or refuses, alike on every node.
+/// A record: a proposal that the replicated state accepts or refuses when it applies the log.
+///
+/// Every node decides the same.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record {
-    /// An operator's change.
+    /// A change ticket of an operator.
     Ticket(Ticket),
-    /// A key withdrawn outside tickets.
+    /// A key withdrawn without a ticket.
     Denial(Denial),
-    /// An entry's word on units of teams' limits.
+    /// A report of an entry on units of the teams' limits.
     Holding(Holding),
-    /// Events of jobs, each judged by itself, in their order.
+    /// Events of jobs, applied in order, each accepted or refused independently.
     Jobs(Vec<JobEvent>),
-    /// Word of a complete snapshot; none is due for a while.
+    /// Notice that a snapshot is complete, so the next one is not due for a while.
     Snapshot(SnapshotMark),
     /// A step of a planned outage, or a report of an unplanned one.
     Disruption(Disruption),
-    /// The moves that are wanted.
+    /// The complete list of wanted moves.
     Moves(Moves),
-    /// A maintenance wave's wanted state.
+    /// The wanted state of a maintenance wave.
     Wave(Wave),
 }
--- a/crates/model/src/refusal.rs
+++ b/crates/model/src/refusal.rs
@@ -1,23 +1,23 @@
-//! Answers that turn work away.
+//! Refusals of requests, jobs and records.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::Code;
 
-/// Why work was turned away, and when to come back.
+/// Why something was refused, and when to retry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// The numbered reason.
+    /// Result code of the refusal.
     pub code: Code,
-    /// When a further try has a chance, if that is known.
+    /// Delay after which a retry may succeed, if known.
     pub retry: Option<Duration>,
-    /// What was wrong, for people; empty if the code says it all.
+    /// Human-readable detail; empty if the code alone is enough.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal that says no more than its code.
+    /// Creates a refusal without retry delay and detail.
     pub fn new(code: Code) -> Self {
         Self {
             code,
@@ -26,13 +26,13 @@
         }
     }
 
-    /// Adds the time after which a further try has a chance.
+    /// Sets the delay after which a retry may succeed.
     pub fn with_retry(mut self, retry: Duration) -> Self {
         self.retry = Some(retry);
         self
     }
 
-    /// Adds a line for people.
+    /// Sets the human-readable detail.
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
--- a/crates/model/src/room.rs
+++ b/crates/model/src/room.rs
@@ -1,4 +1,4 @@
-//! Room on a worker.
+//! Resources of workers and jobs.
 
 use std::ops::{Add, Sub};
 
@@ -6,21 +6,21 @@
 
 use crate::{Cores, Instance, Mebibytes};
 
-/// What a job takes up or a worker has: cores, memory and accelerators.
+/// Resources that a job needs or a worker has: cores, memory and accelerators.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Room {
-    /// Processor cores.
+    /// Number of processor cores.
     pub cores: Cores,
-    /// Memory.
+    /// Memory, in MiB.
     pub memory: Mebibytes,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accels: u32,
 }
 
 impl Room {
-    /// All that an instance has.
+    /// All resources of an instance.
     pub fn of(instance: &Instance) -> Self {
         Self {
             cores: instance.cores,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether this fits into `space`, in every kind of resource.
+    /// Whether `space` has enough of every kind of resource for this.
     pub fn fits(self, space: Self) -> bool {
         self.cores <= space.cores && self.memory <= space.memory && self.accels <= space.accels
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Never below nothing in any kind of resource.
+/// Subtracts each kind of resource, saturating at zero.
 impl Sub for Room {
     type Output = Self;
 
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name, the first segment of a caller's path.
+    /// Name of the service, as used in the path of a caller's request.
     pub id: ServiceId,
-    /// The pool whose instances serve it.
+    /// Pool whose instances serve the service.
     pub pool: PoolId,
-    /// Disruption budget: most instances of the pool that may be unavailable at once.
+    /// Disruption budget: maximum number of instances of the pool that may be unavailable at once.
     ///
     /// Invariant: smaller than the pool's size whenever the pool has instances.
     pub max_down: u32,
-    /// Slots of work expected at peak; the pool has to hold them after losing any one rack.
+    /// Slots needed at peak load; the pool must still provide them after losing any one rack.
     #[serde(default)]
     pub demand: Slots,
 }
--- a/crates/model/src/share.rs
+++ b/crates/model/src/share.rs
@@ -1,4 +1,4 @@
-//! Shares of a full fleet.
+//! Weights of teams when the fleet is full.
 
 use crate::number::number;
 
--- a/crates/model/src/size.rs
+++ b/crates/model/src/size.rs
@@ -3,7 +3,7 @@
 use crate::number::number;
 
 number! {
-    /// Processor cores.
+    /// Number of processor cores.
     Cores(u32)
 }
 number! {
--- a/crates/model/src/slots.rs
+++ b/crates/model/src/slots.rs
@@ -3,6 +3,6 @@
 use crate::number::number;
 
 number! {
-    /// Number of requests that run at the same time.
+    /// Number of requests or jobs that can run at the same time.
     Slots(u32)
 }
--- a/crates/model/src/snapshot_mark.rs
+++ b/crates/model/src/snapshot_mark.rs
@@ -1,17 +1,17 @@
-//! Word of a snapshot.
+//! Notices of complete snapshots.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Digest, Offset};
 
-/// Says that a whole snapshot stands in the stream of snapshots.
+/// Notice that a complete snapshot has been written to the snapshot stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotMark {
-    /// It holds all records below this offset.
+    /// The snapshot covers all records below this offset.
     pub head: Offset,
-    /// Digest of its bytes.
+    /// Digest of the snapshot's bytes.
     pub digest: Digest,
-    /// Its bytes.
+    /// Size of the snapshot, in bytes.
     pub size: u64,
 }
--- a/crates/model/src/team.rs
+++ b/crates/model/src/team.rs
@@ -1,23 +1,23 @@
-//! Teams.
+//! Teams, the customers' workspaces.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Share, Slots, TeamId};
 
-/// A team, its share of a full fleet and its upper limit.
+/// A team, its weight when the fleet is full and its concurrency limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub id: TeamId,
-    /// Weight when the fleet is full.
+    /// Weight relative to other teams when the fleet is full.
     pub share: Share,
-    /// Most requests and jobs that run at once, over the whole fleet.
+    /// Maximum number of requests and jobs that run at once in the whole fleet.
     pub limit: Slots,
-    /// Part of `limit` that is set aside for jobs; requests have the rest.
+    /// Part of `limit` that is reserved for jobs; requests use the rest.
     ///
-    /// Two parts with a fixed border need no agreement between the log, which counts jobs, and
-    /// the entries, which count requests.
+    /// With a fixed split, the log, which counts jobs, and the entries, which count requests,
+    /// need no coordination.
     #[serde(default)]
     pub jobs: Slots,
 }
--- a/crates/model/src/ticket.rs
+++ b/crates/model/src/ticket.rs
@@ -4,29 +4,31 @@
 
 use crate::{Change, Digest, OperatorId, TicketNo, WallTime};
 
-/// A change that operators put in, applied whole or not at all.
+/// A set of changes that an operator submits, applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ticket {
-    /// Its number.
+    /// Number of the ticket.
     pub ticket: TicketNo,
-    /// Who put it in; set by the entry from the operator's key.
+    /// Operator who submitted the ticket; set by the entry from the operator's key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub author: Option<OperatorId>,
-    /// When it was put in; set by the entry.
+    /// Time of submission; set by the entry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at: Option<WallTime>,
-    /// Why, for people who read the log.
+    /// Human-readable reason for the change, for readers of the log.
     #[serde(default)]
     pub reason: String,
-    /// New states; no object twice.
+    /// The changes; each object at most once.
     pub changes: Vec<Change>,
 }
 
 impl Ticket {
-    /// Digest of what the ticket changes, which tells a repeat from a conflict.
+    /// Digest of the ticket's changes, which distinguishes a repeated ticket from a conflicting
+    /// one with the same number.
     ///
-    /// Author and time are left out: a repeat through another operator's key is still a repeat.
+    /// It does not cover author and time: a ticket repeated with another operator's key is still
+    /// a repeat.
     pub fn digest(&self) -> Digest {
         let bytes = serde_json::to_vec(&self.changes).unwrap_or_default();
         Digest::of(&bytes)
--- a/crates/model/src/ticket_no.rs
+++ b/crates/model/src/ticket_no.rs
@@ -3,6 +3,6 @@
 use crate::number::number;
 
 number! {
-    /// Number that operators give a change ticket; a higher one is newer.
+    /// Number of a change ticket, assigned by operators; a higher number is newer.
     TicketNo(u64)
 }
--- a/crates/model/src/wall_time.rs
+++ b/crates/model/src/wall_time.rs
@@ -1,10 +1,10 @@
-//! Dates, for people.
+//! Wall-clock times for display.
 
 use crate::number::number;
 
 number! {
-    /// Milliseconds since 1970 by the clock of the entry that stamped it.
+    /// Wall-clock time, in milliseconds since 1970 by the clock of the entry that set it.
     ///
-    /// Clocks differ between entries: it is shown, and nothing is decided by it.
+    /// The clocks of entries differ, so it is only displayed and no decision depends on it.
     WallTime(u64)
 }
--- a/crates/model/src/wave.rs
+++ b/crates/model/src/wave.rs
@@ -6,30 +6,30 @@
 use crate::{DcId, OperatorId};
 
 number! {
-    /// Counts the maintenance waves of a fleet; the first is 1.
+    /// Number of a maintenance wave of the fleet; the first wave has number 1.
     WaveNo(u64)
 }
 
-/// The whole wanted state of a maintenance wave.
+/// The complete wanted state of a maintenance wave.
 ///
-/// A number one higher than the newest starts a new wave; the newest number changes it.
+/// The newest wave's number changes that wave; the number after it starts a new wave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Wave {
-    /// Its number.
+    /// Number of the wave.
     pub number: WaveNo,
-    /// Whether nothing of it may start.
+    /// Whether the wave is paused, so that none of its reboots may start.
     #[serde(default)]
     pub paused: bool,
-    /// Data centres to go first, in this order; others follow by name.
+    /// Data centres to process first, in this order; the others follow by name.
     #[serde(default)]
     pub order: Vec<DcId>,
-    /// Who put it so; set by the entry from the operator's key.
+    /// Operator who submitted this state; set by the entry from the operator's key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub author: Option<OperatorId>,
-    /// When it began, in seconds since 1970 by the clock of the entry that proposed it.
+    /// Start of the wave, in seconds since 1970 by the clock of the entry that proposed it.
     ///
-    /// Only for the choice of the next wave's time; no rule depends on it.
+    /// Used only to choose the time of the next wave; no rule depends on it.
     #[serde(default)]
     pub began: u64,
 }
