--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name of the service, as used in the path of a caller's request.
+    /// Name of the service, the path segment after `/s/` in a caller's request.
     pub id: ServiceId,
     /// Pool whose instances serve the service.
     pub pool: PoolId,
--- a/crates/model/src/wall_time.rs
+++ b/crates/model/src/wall_time.rs
@@ -1,4 +1,4 @@
-//! Wall-clock times for display.
+//! Wall-clock times, for display only.
 
 use crate::number::number;
 
