--- a/crates/node/src/role.rs
+++ b/crates/node/src/role.rs
@@ -12,8 +12,8 @@
         /// Epoch of the ownership.
         epoch: u64,
         /// Whether earlier owners had stopped renewing leases when this node claimed the ownership.
-        alone: bool,
+        exclusive: bool,
         /// The previous owner.
-        before: Option<LastOwner>,
+        predecessor: Option<LastOwner>,
     },
 }
