--- a/crates/node/src/appending.rs
+++ b/crates/node/src/appending.rs
@@ -9,7 +9,7 @@
 
 use crate::shared::Shared;
 
-/// Timeout of one attempt. Callers stop waiting long before.
+/// Timeout of one attempt. Callers stop waiting long before it elapses.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// Maximum number of attempts in flight at a time.
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -13,7 +13,8 @@
 /// Exponential backoff after refused calls.
 ///
 /// Without it, an owner would ask a busy store to record hundreds of orders to instances per
-/// second. All would be refused, and each would briefly close a worker that its queue needs.
+/// second. All would be refused, and each would briefly keep new runs off a
+/// worker that its queue needs.
 #[derive(Debug, Default)]
 pub struct Backoff {
     until: Time,
--- a/crates/node/src/claim.rs
+++ b/crates/node/src/claim.rs
@@ -20,7 +20,7 @@
 ///
 /// The store may apply a claim whose answer is then lost. The node learns from reading the record
 /// back that it owns the cell, so storing its knowledge of the previous owner when the answer
-/// arrives would miss this case. Without that knowledge every instance that was ever ordered would
+/// arrives would miss this case. Without that knowledge every instance with a recorded order would
 /// count as ordered just now, and none would be moved for four seconds. Since the claim is stored
 /// before it is sent, it is available however the node learns that it won.
 #[derive(Debug, Default)]
--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -58,7 +58,7 @@
 
 impl OrderSink for LocalOwner {
     async fn deliver(&self, report: Report) {
-        // A failed send means that the owner is gone and needs no report.
+        // A failed send means that the owner has stopped and needs no report.
         let _ = self.events.send(Event::Report(report)).await;
     }
 
@@ -240,13 +240,13 @@
             return Vec::new();
         }
         let node = reports.node;
-        let mut unfolded = Vec::with_capacity(reports.reports.len());
+        let mut expanded = Vec::with_capacity(reports.reports.len());
         for report in reports.reports {
             let (worker, order) = answered_order(&report);
             self.relays.record_answer(&node, worker, &order);
-            unfolded.push(unfold_poll(&mut self.relay_polls, &node, report));
+            expanded.push(expand_poll(&mut self.relay_polls, &node, report));
         }
-        unfolded
+        expanded
     }
 
     /// Removes a relay, and returns reports with an unknown outcome for its pending orders.
@@ -347,8 +347,8 @@
                 log::warn!(step:% = step, workers = workers.len() as u64, error:% = e; "no advice");
                 sleep(ADVICE_RETRY_PAUSE).await;
             }
-            let good = answer.ok().map(|a| a.permits);
-            let _ = events.send(Event::PolicyAnswer(step, good)).await;
+            let permitted = answer.ok().map(|a| a.permits);
+            let _ = events.send(Event::PolicyAnswer(step, permitted)).await;
         });
     }
 
@@ -381,13 +381,14 @@
 }
 
 /// Expands a poll delta of a relay into a full poll result.
-fn unfold_poll(known: &mut DeltaDecoder, node: &NodeName, report: Report) -> Report {
-    let Report::Delta(worker, number, seen) = report else {
+fn expand_poll(known: &mut DeltaDecoder, node: &NodeName, report: Report) -> Report {
+    let Report::Delta(worker, number, delta) = report else {
         return report;
     };
-    let look = known.decode(node, &worker, number, seen);
-    let look = look.ok_or_else(|| PollError::Unknown("delta refers to a poll not received".into()));
-    Report::Polled(worker, number, look)
+    let status = known.decode(node, &worker, number, delta);
+    let status =
+        status.ok_or_else(|| PollError::Unknown("delta refers to a poll not received".into()));
+    Report::Polled(worker, number, status)
 }
 
 /// The report of an order to a relay that got no answer.
--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -73,10 +73,10 @@
 /// Key of the ownership record, the only one in its partition.
 const RECORD_KEY: &str = "0";
 
-/// This node's participant in the election.
+/// Takes part in the election on behalf of this node.
 pub(crate) struct Election {
     shared: Arc<Shared>,
-    life: u64,
+    incarnation: u64,
     role: watch::Sender<Role>,
     /// End offset of the partition when it was last read or written.
     end_offset: u64,
@@ -94,11 +94,11 @@
 
 impl Election {
     /// Creates a participant that reports this node's part through `role`.
-    pub(crate) fn new(shared: Arc<Shared>, life: u64, role: watch::Sender<Role>) -> Self {
+    pub(crate) fn new(shared: Arc<Shared>, incarnation: u64, role: watch::Sender<Role>) -> Self {
         let started = shared.clock.now();
         Self {
             shared,
-            life,
+            incarnation,
             role,
             end_offset: 0,
             newest: None,
@@ -140,10 +140,10 @@
     /// Renews the ownership. If the node has stopped running the cell while it held the ownership,
     /// claims it again instead, or releases it if the node leaves it to others.
     async fn renew_or_release(&mut self) {
-        let anew = self.shared.reclaim.swap(false, Ordering::AcqRel);
-        match anew && self.shared.claims_paused() {
+        let claim_again = self.shared.reclaim.swap(false, Ordering::AcqRel);
+        match claim_again && self.shared.claims_paused() {
             true => self.relinquish().await,
-            false => self.write_record(anew).await,
+            false => self.write_record(claim_again).await,
         }
     }
 
@@ -155,7 +155,7 @@
     /// latest.
     async fn relinquish(&mut self) {
         if let Some(last) = &self.newest {
-            Self::release(&self.shared, last.epoch, self.life).await;
+            Self::release(&self.shared, last.epoch, self.incarnation).await;
         }
         sleep(RETRY_PAUSE).await;
         self.resync().await;
@@ -165,7 +165,7 @@
     }
 
     /// Releases the ownership with this epoch, so that another node can claim it before it expires.
-    pub(crate) async fn release(shared: &Shared, epoch: u64, life: u64) {
+    pub(crate) async fn release(shared: &Shared, epoch: u64, incarnation: u64) {
         let Ok(page) = shared.store.newest(OWNER, None, STORE_TIMEOUT).await else {
             return;
         };
@@ -173,7 +173,7 @@
             .items
             .iter()
             .find_map(|i| decode::<Ownership>(&i.value).ok());
-        let mine = last.filter(|o| o.epoch == epoch && o.life == life);
+        let mine = last.filter(|o| o.epoch == epoch && o.life == incarnation);
         let Some(mut record) = mine else {
             return;
         };
@@ -192,17 +192,17 @@
     fn is_owner(&self) -> bool {
         let me = &self.shared.settings.node;
         let last = self.newest.as_ref();
-        last.is_some_and(|o| o.node == *me && o.life == self.life && !o.released)
+        last.is_some_and(|o| o.node == *me && o.life == self.incarnation && !o.released)
     }
 
     /// Waits for the next record, and claims the ownership if it was released or expires, or if
     /// this node can preempt the owner.
     async fn watch(&mut self) {
         let now = self.shared.clock.now();
-        // An earlier process of this node has certainly ended.
+        // An earlier process of this node has certainly ended, so its ownership counts as released.
         let me = &self.shared.settings.node;
         let mut last = self.newest.iter();
-        let released = last.all(|o| o.released || (o.node == *me && o.life != self.life));
+        let released = last.all(|o| o.released || (o.node == *me && o.life != self.incarnation));
         let expiry = self
             .newest
             .as_ref()
@@ -327,7 +327,7 @@
         let record = Ownership {
             epoch,
             node: settings.node.clone(),
-            life: self.life,
+            life: self.incarnation,
             addr: settings.listen.peers,
             strength: settings.strength(),
             clock: now.get(),
@@ -364,7 +364,7 @@
         }
     }
 
-    /// What this node knows of the owner in the newest record.
+    /// Returns what this node knows of the owner in the newest record.
     fn last_owner(&self) -> Option<LastOwner> {
         let last = self.newest.as_ref()?;
         Some(LastOwner {
@@ -424,13 +424,13 @@
             self.owner_since = self.shared.clock.now();
             log::info!(owner:% = record.node, epoch = record.epoch; "new owner of the cell");
         }
-        let at = OwnerAddress {
+        let address = OwnerAddress {
             node: record.node.clone(),
             addr: record.addr,
             epoch: record.epoch,
         };
-        let at = (!record.released).then(|| Arc::new(at));
-        self.shared.owner.store(at);
+        let address = (!record.released).then(|| Arc::new(address));
+        self.shared.owner.store(address);
         self.newest = Some(record);
         let role = match (self.is_owner(), &self.newest) {
             (true, Some(o)) => {
@@ -443,9 +443,9 @@
             }
             _ => Role::Idle,
         };
-        self.role.send_if_modified(|before| {
-            let changed = *before != role;
-            *before = role;
+        self.role.send_if_modified(|previous| {
+            let changed = *previous != role;
+            *previous = role;
             changed
         });
     }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -44,7 +44,8 @@
 /// Approximate size of an instance in the list, in bytes.
 const INSTANCE_SIZE: usize = 200;
 
-/// Upper limit of the interval between lists, since the planner orders nothing by an old list.
+/// Upper limit of the interval between lists, since the planner issues no orders based on an
+/// old list.
 const MAX_LIST_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// Timeout of a call to the platform's instance service.
@@ -126,7 +127,7 @@
         };
         let policy = shared.settings.policies.pools.clone();
         let writer = |to| RecordWriter::start(shared.clone(), events.clone(), to);
-        let (ordering, queue) = mpsc::unbounded_channel();
+        let (sender, queue) = mpsc::unbounded_channel();
         tokio::spawn(issue_orders(shared.clone(), service, events.clone(), queue));
         let wait = shared.settings.times.order.duration() + CALL_TIMEOUT + RESERVATION_MARGIN;
         let now = shared.clock.now();
@@ -146,7 +147,7 @@
             planned_at: Time::default(),
             backoff: Backoff::default(),
             token: epoch << TOKEN_BITS,
-            orders: ordering,
+            orders: sender,
             waves: writer(WAVES),
             maintained: writer(MAINTAINED),
             status: writer(WAVE_STATUS),
@@ -295,10 +296,10 @@
             orders.extend(more);
         }
         let (life, at) = (shared.life, shared.clock.now());
-        let records = orders.iter().map(|g| {
-            let wave = wave_of(&g.order);
+        let records = orders.iter().map(|o| {
+            let wave = wave_of(&o.order);
             let record = OrderRecord { life, at, wave };
-            KeyedRecord::new(instance_of(&g.order).as_str(), encode(&record))
+            KeyedRecord::new(instance_of(&o.order).as_str(), encode(&record))
         });
         let records: Vec<KeyedRecord> = records.collect();
         let recorded = shared.orders.write(&shared.store, &records).await;
@@ -345,7 +346,7 @@
     }
 }
 
-/// Lists instances periodically, until the owner on this node is gone.
+/// Lists instances periodically, until the owner on this node has stopped.
 async fn list_instances(
     shared: Arc<Shared>,
     service: Arc<InstanceClient>,
--- a/crates/node/src/hand_ins.rs
+++ b/crates/node/src/hand_ins.rs
@@ -14,7 +14,7 @@
 use crate::peer::HandInAnswer;
 use crate::shared::Shared;
 
-/// Maximum number of jobs waiting for the journal batch in flight. More pile up only while the
+/// Maximum number of jobs waiting for the journal batch in flight. More accumulate only while the
 /// store is unreachable.
 const MAX_WAITING: usize = 1_024;
 
@@ -25,7 +25,7 @@
     waiting: Vec<(Submission, HandInRequest)>,
     /// Front ends waiting until a job is in the journal.
     replies: Map<JobId, Vec<oneshot::Sender<HandInAnswer>>>,
-    /// Front ends that hold the specs of recent jobs.
+    /// Nodes that have the specs of recent jobs cached.
     origins: SpecOrigins,
 }
 
@@ -51,8 +51,8 @@
                 return answer(request.reply, HandInAnswer::Refused);
             }
         };
-        if let Some(waits) = cell.overload_delay(&sub) {
-            return answer(request.reply, HandInAnswer::Overloaded(waits));
+        if let Some(delay) = cell.overload_delay(&sub) {
+            return answer(request.reply, HandInAnswer::Overloaded(delay));
         }
         self.waiting.push((sub, request));
     }
@@ -67,24 +67,24 @@
             return;
         }
         let now = self.shared.clock.now();
-        if let Some(writing) = cell.append_age(now) {
-            return self.refuse_overdue(now, writing);
+        if let Some(batch_age) = cell.append_age(now) {
+            return self.refuse_overdue(now, batch_age);
         }
         for (sub, request) in std::mem::take(&mut self.waiting) {
             self.hand_in_one(cell, sub, request);
         }
     }
 
-    fn refuse_overdue(&mut self, now: Time, writing: Duration) {
-        let stuck = writing > stuck_timeout(&self.shared);
-        let expired = |(_, h): &mut (Submission, HandInRequest)| stuck || h.until <= now;
+    fn refuse_overdue(&mut self, now: Time, batch_age: Duration) {
+        let stuck = batch_age > stuck_timeout(&self.shared);
+        let expired = |(_, r): &mut (Submission, HandInRequest)| stuck || r.until <= now;
         let mut refused = 0;
         for (_, request) in self.waiting.extract_if(.., expired) {
             answer(request.reply, HandInAnswer::Refused);
             refused += 1;
         }
         if refused > 0 {
-            let ms = writing.as_millis() as u64;
+            let ms = batch_age.as_millis() as u64;
             log::warn!(jobs = refused, writing_ms = ms; "jobs refused: journal batch is overdue");
         }
     }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Front ends that hold the specs of recent jobs.
+    /// Nodes that have the specs of recent jobs cached.
     pub(crate) fn origins(&mut self) -> &mut SpecOrigins {
         &mut self.origins
     }
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -21,7 +21,7 @@
 use crate::topics::{IntakeKey, intake, intake_part};
 
 /// Maximum number of records waiting for a partition. A front end accepts a few dozen per second;
-/// more pile up only while the store is unreachable, and are then refused.
+/// more accumulate only while the store is unreachable, and are then refused.
 const MAX_QUEUED: usize = 1_024;
 
 /// Size from which an append takes no further records, in bytes.
@@ -139,18 +139,18 @@
             && let Some(refusal) = early_refusal(shared, start, slack)
         {
             // The request may repeat one for a job that was already accepted.
-            let Some((standing, waits)) = ask::standing(shared, id, sub.service.clone()).await
+            let Some((standing, delay)) = ask::standing(shared, id, sub.service.clone()).await
             else {
                 return Err(refusal);
             };
-            // The waits known so far may have become shorter than the owner predicted.
-            shared.overload.learn(shared.clock.now(), waits);
+            // The owner's current delay may be shorter than the one that this front end knows of.
+            shared.overload.learn(shared.clock.now(), delay);
             match standing {
                 Standing::Stored => return Ok(()),
-                // Handing it in again returns its outcome.
+                // Handing the job in again returns its outcome.
                 Standing::Pending => {}
                 Standing::Unknown => {
-                    if let Some(excess) = waits.excess(slack) {
+                    if let Some(excess) = delay.excess(slack) {
                         return Err(NotStored::Overloaded(excess));
                     }
                 }
@@ -163,10 +163,10 @@
                 shared.owner_health.answered(shared.clock.now());
                 return Ok(());
             }
-            HandInAnswer::Overloaded(waits) => {
+            HandInAnswer::Overloaded(delay) => {
                 shared.owner_health.answered(shared.clock.now());
-                shared.overload.learn(shared.clock.now(), waits);
-                let excess = slack.and_then(|s| waits.excess(s));
+                shared.overload.learn(shared.clock.now(), delay);
+                let excess = slack.and_then(|s| delay.excess(s));
                 return Err(NotStored::Overloaded(excess.unwrap_or_default()));
             }
             HandInAnswer::Refused | HandInAnswer::Unknown => {
--- a/crates/node/src/intake_follower.rs
+++ b/crates/node/src/intake_follower.rs
@@ -71,7 +71,7 @@
     let _ = events.send(Event::IntakeReadDone(part)).await;
 }
 
-/// Polls a partition of the intake, starting at offset `next`, until the owner is gone.
+/// Polls a partition of the intake, starting at offset `next`, until the owner has stopped.
 pub(crate) async fn follow_intake(
     shared: Arc<Shared>,
     events: mpsc::Sender<Event>,
--- a/crates/node/src/journal_writer.rs
+++ b/crates/node/src/journal_writer.rs
@@ -20,7 +20,7 @@
 const DROP_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time without an answer after which an append counts as stalled. This is logged, and the append
-/// is abandoned once the owner is gone.
+/// is abandoned once the owner has stopped.
 const STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Pause before a failed append is retried.
@@ -69,7 +69,7 @@
         let states = batch.records.into_iter();
         let states = states.map(|(id, v)| keyed(id.to_string(), v));
         let records: Vec<KeyedRecord> = submissions.chain(states).collect();
-        // Failed sends mean that the owner is gone and needs no events.
+        // Failed sends mean that the owner has stopped and needs no events.
         if let Err(Superseded) = self.write(&records).await {
             let _ = self.events.send(Event::Deposed).await;
             return;
@@ -81,9 +81,9 @@
         self.clear_intake(&finished).await;
     }
 
-    /// Appends records until that succeeds, a newer owner is detected or the owner is gone. Retries
-    /// use the same epoch and sequence number, so that the store applies the append only once,
-    /// whatever the outcome of earlier attempts.
+    /// Appends records until that succeeds, a newer owner is detected or the owner has stopped.
+    /// Retries use the same epoch and sequence number, so that the store applies the append only
+    /// once, whatever the outcome of earlier attempts.
     async fn write(&self, records: &[KeyedRecord]) -> Result<(), Superseded> {
         let mut failing = false;
         while !self.events.is_closed() {
@@ -128,8 +128,8 @@
         Ok(())
     }
 
-    /// Makes one append; `None` if the owner is gone before the outcome is certain. Sets `failing`
-    /// and logs a warning if the append stalls.
+    /// Makes one append; `None` if the owner has stopped before the outcome is certain. Sets
+    /// `failing` and logs a warning if the append stalls.
     async fn try_write(
         &self,
         producer: &Producer,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -36,14 +36,14 @@
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let hangup = signal(SignalKind::hangup())?;
-    let life: u64 = rand::rng().random();
+    let incarnation: u64 = rand::rng().random();
     let callers = TcpListener::bind(settings.listen.callers).await?;
     let ready_listener = TcpListener::bind(settings.listen.ready).await?;
     let peers = TcpListener::bind(settings.listen.peers).await?;
     let metrics_listener = TcpListener::bind(settings.listen.metrics).await?;
-    let shared = Arc::new(Shared::new(settings, life, Metrics::new()?));
+    let shared = Arc::new(Shared::new(settings, incarnation, Metrics::new()?));
     log::info!(
-        node:% = shared.settings.node, zone:% = shared.settings.zone, life = life,
+        node:% = shared.settings.node, zone:% = shared.settings.zone, life = incarnation,
         callers:% = shared.settings.listen.callers, version = env!("CARGO_PKG_VERSION");
         "node starting"
     );
@@ -52,10 +52,10 @@
     spawn_services(&shared, ready_listener, peers, metrics_listener);
     tokio::spawn(watch_settings(hangup, path, shared.clone()));
     tokio::spawn(owner::run(shared.clone(), roles.clone()));
-    let lead = Election::new(shared.clone(), life, role);
-    let lead = tokio::spawn(lead.run(halted));
+    let election = Election::new(shared.clone(), incarnation, role);
+    let election = tokio::spawn(election.run(halted));
     let front = Arc::new(Front {
-        intake: Intake::start(&shared, life),
+        intake: Intake::start(&shared, incarnation),
         shared: shared.clone(),
         in_flight: AtomicUsize::new(0),
     });
@@ -71,9 +71,9 @@
     shared.stop();
     let _ = halt.send(true);
     let finish = async {
-        let _ = lead.await;
+        let _ = election.await;
         if let Role::Owner { epoch, .. } = *roles.borrow() {
-            Election::release(&shared, epoch, life).await;
+            Election::release(&shared, epoch, incarnation).await;
         }
         sleep(BALANCER_DELAY).await;
         stop.cancel();
--- a/crates/node/src/order_log.rs
+++ b/crates/node/src/order_log.rs
@@ -9,7 +9,8 @@
 
 use crate::topics::orders;
 
-/// Time limit for recording an order. After it the order is not issued, and is planned again.
+/// Time limit for recording an order. An order that is not recorded in time is not issued, and is
+/// planned again.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Timeout of a read.
@@ -63,7 +64,7 @@
             };
             log::info!(part = part, error:% = e; "partition did not accept order records");
             part = (part + 1) % self.parts;
-            // The next write skips a partition that did not answer, too.
+            // The next write also skips a partition that did not answer.
             self.preferred.store(part, Ordering::Relaxed);
             if part == first || started.elapsed() >= WRITE_TIMEOUT {
                 return Err(e);
--- a/crates/node/src/order_sender.rs
+++ b/crates/node/src/order_sender.rs
@@ -176,8 +176,8 @@
         let limit = (self.start_rtt.retry_timeout() + queued).min(POLL_TIMEOUT);
         let conn = self.conn(&worker, addr);
         conn.fence.fetch_max(order.fence, Ordering::AcqRel);
-        if let Some(before) = conn.poll.take() {
-            before.abort();
+        if let Some(previous) = conn.poll.take() {
+            previous.abort();
         }
         let orders = conn.orders.clone();
         let task = tokio::spawn(async move {
@@ -200,9 +200,9 @@
             // The worker would refuse a superseded order anyway. Not sending it gives the outcome
             // sooner.
             let superseded = fence.load(Ordering::Acquire) > order.fence || sink.is_disconnected();
-            // The fencing token alone does not cover an owner that is suspended with an order in
-            // hand and resumes after another owner has settled that run and the worker has
-            // restarted without knowledge of any token: the task would run twice. Checking that
+            // The fencing token alone does not cover an owner that is suspended just before it
+            // sends an order and resumes after another owner has settled that run and the worker
+            // has restarted without knowledge of any token: the task would run twice. Checking that
             // the ownership is confirmed suffices, since the confirmation expires before another
             // node can claim the ownership.
             let superseded = superseded || !sink.holds_ownership();
--- a/crates/node/src/overload.rs
+++ b/crates/node/src/overload.rs
@@ -10,28 +10,29 @@
 /// Waiting times last reported by the owner.
 ///
 /// Refused callers retry. If a front end forwarded each retry with its job spec, the specs would
-/// fill the owner's link and delay its other traffic. So until the reported waits have passed, a
+/// fill the owner's link and delay its other traffic. So until the reported delay has passed, a
 /// front end first sends the owner the job id only.
 #[derive(Debug, Default)]
 pub struct Overload(ArcSwapOption<(Time, StartDelay)>);
 
 impl Overload {
     /// Records the delays that the owner reported.
-    pub fn learn(&self, now: Time, waits: StartDelay) {
-        self.0.store(Some(Arc::new((now, waits))));
+    pub fn learn(&self, now: Time, delay: StartDelay) {
+        self.0.store(Some(Arc::new((now, delay))));
     }
 
     /// How much too late a job with this slack would start; `None` if it would start in time as far
     /// as known.
     pub fn excess(&self, now: Time, slack: Slack) -> Option<Duration> {
         let known = self.0.load();
-        let (received, waits) = known.as_deref()?;
-        waits.after(now.since(*received)).excess(slack)
+        let (received, delay) = known.as_deref()?;
+        delay.after(now.since(*received)).excess(slack)
     }
 }
 
 /// How much too late a job would start if no owner has accepted jobs for `outage` and a takeover
-/// usually takes `usual`. An outage that is longer than that is assumed to last as long again.
+/// usually takes `usual`. An outage longer than `usual` is assumed to go on for as long as it has
+/// lasted.
 ///
 /// Without this check, front ends would store every job while the cell has no owner. After an
 /// outage of 10 seconds the next owner would have to read all of them before it starts anything,
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -35,30 +35,30 @@
 /// Runs the cell whenever `role` is [`Role::Owner`], until the sender of `role` is dropped.
 pub(crate) async fn run(shared: Arc<Shared>, mut role: watch::Receiver<Role>) {
     loop {
-        let now = *role.borrow_and_update();
+        let current = *role.borrow_and_update();
         if let Role::Owner {
             epoch,
             exclusive,
             predecessor,
-        } = now
+        } = current
         {
             let mut changed = role.clone();
             tokio::select! {
-                () = own_cell(shared.clone(), epoch, exclusive, predecessor) => {
+                () = run_cell(shared.clone(), epoch, exclusive, predecessor) => {
                     // Without this, the node would keep renewing its ownership although it no
                     // longer runs the cell: jobs would stall and no other node would take over.
                     // Claiming the ownership again under the next epoch either takes the cell
                     // over again or reveals the current owner.
                     shared.reclaim.store(true, Ordering::Release);
                 }
-                _ = changed.wait_for(|r| *r != now) => {
+                _ = changed.wait_for(|r| *r != current) => {
                     log::warn!(epoch = epoch; "ownership ended; stopping the cell");
                 }
             }
             shared.local_owner.store(None);
             shared.metrics.set_epoch(0);
         }
-        if role.wait_for(|r| *r != now).await.is_err() {
+        if role.wait_for(|r| *r != current).await.is_err() {
             return;
         }
     }
@@ -66,7 +66,7 @@
 
 /// Takes the cell over and runs it until a newer owner is detected, or until the cell turns out
 /// to be too large for this node.
-async fn own_cell(
+async fn run_cell(
     shared: Arc<Shared>,
     epoch: u64,
     exclusive: bool,
@@ -238,8 +238,8 @@
     fn handle_event(&mut self, event: Event) -> bool {
         let now = self.shared.clock.now();
         match event {
-            Event::HandIn(handed) => self.hand_ins.take(&self.cell, handed),
-            Event::Intake(read) => self.handle_intake(read),
+            Event::HandIn(request) => self.hand_ins.take(&self.cell, request),
+            Event::Intake(page) => self.handle_intake(page),
             Event::IntakeReadDone(part) => {
                 self.reads.finish_read(part);
                 self.answer_parked();
@@ -268,7 +268,7 @@
                     self.handle_report(report);
                 }
             }
-            Event::Appended(mark) => self.cell.appended(now, mark),
+            Event::Appended(batch) => self.cell.appended(now, batch),
             Event::Deposed => return true,
             Event::Instances(instances, sent) => {
                 if let Some(fleet) = &mut self.fleet {
@@ -285,7 +285,7 @@
                     self.dispatcher.remove_worker(worker);
                 }
             }
-            Event::PolicyAnswer(step, good) => self.cell.advised(now, step, good),
+            Event::PolicyAnswer(step, permits) => self.cell.advised(now, step, permits),
             Event::Query(query) => self.answer_query(query),
         }
         false
@@ -341,14 +341,14 @@
     }
 
     /// Takes records read from the intake into the cell.
-    fn handle_intake(&mut self, read: IntakePage) {
+    fn handle_intake(&mut self, page: IntakePage) {
         let now = self.shared.clock.now();
-        for record in read.records {
+        for record in page.records {
             if let Some(value) = &record.value {
                 apply_intake(&self.shared, &mut self.cell, now, &record.key, value);
             }
         }
-        self.reads.mark_read(read.part, read.next, read.complete_at);
+        self.reads.mark_read(page.part, page.next, page.complete_at);
         self.answer_parked();
     }
 
@@ -363,8 +363,8 @@
 
     /// Answers a query for a job, or parks it. The answer is [`JobAnswer::Unknown`] only if the
     /// cell knows every job accepted before the query arrived at `since`: the intake has been read
-    /// up to a later time, which covers the jobs that fronts accepted, and the ownership has been
-    /// confirmed since, which rules out that a newer owner accepted any.
+    /// up to a later time, which covers the jobs that front ends accepted, and the ownership has
+    /// been confirmed since, which rules out that a newer owner accepted any.
     fn answer_job(&mut self, id: JobId, since: Time, reply: oneshot::Sender<JobAnswer>) {
         let answer = match self.cell.state(id) {
             Some(state) => JobAnswer::Known {
--- a/crates/node/src/owner_clock.rs
+++ b/crates/node/src/owner_clock.rs
@@ -40,7 +40,7 @@
     /// milliseconds.
     pub fn observe(&mut self, now: Time, clock: u64) {
         let offset = now.get() as i64 - clock as i64;
-        let smallest = self.min_offset.map_or(offset, |before| before.min(offset));
+        let smallest = self.min_offset.map_or(offset, |known| known.min(offset));
         self.min_offset = Some(smallest);
         let sent = Time::new((clock as i64 + smallest).max(0) as u64);
         self.last_heard = self.last_heard.max(sent);
--- a/crates/node/src/owner_handle.rs
+++ b/crates/node/src/owner_handle.rs
@@ -22,8 +22,8 @@
 }
 
 impl OwnerHandle {
-    /// Sends a query to the owner. If the owner is gone, the query is dropped along with its reply
-    /// channel, so the caller's receiver fails at once.
+    /// Sends a query to the owner. If the owner has stopped, the query is dropped along with its
+    /// reply channel, so the caller's receiver fails at once.
     async fn send_query(&self, query: Query) {
         let _ = self.events.send(Event::Query(query)).await;
     }
@@ -43,7 +43,7 @@
     }
 
     /// Returns what the cell knows of a job, and how long new jobs of `service` wait; `None` if the
-    /// owner is gone.
+    /// owner has stopped.
     pub(crate) async fn standing(
         &self,
         id: JobId,
@@ -54,15 +54,15 @@
         answer.await.ok()
     }
 
-    /// Returns the operators' view of the cell as JSON; `None` if the owner is gone.
+    /// Returns the operators' view of the cell as JSON; `None` if the owner has stopped.
     pub(crate) async fn cell_view(&self) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
         self.send_query(Query::CellView(reply)).await;
         answer.await.ok()
     }
 
-    /// Returns the operators' view of a job as JSON; `None` if the owner doesn't know the job or is
-    /// gone.
+    /// Returns the operators' view of a job as JSON; `None` if the owner doesn't know the job or
+    /// has stopped.
     pub(crate) async fn job_view(&self, id: JobId) -> Option<Value> {
         let (reply, answer) = oneshot::channel();
         self.send_query(Query::JobView(id, reply)).await;
@@ -100,7 +100,7 @@
         answer.await.unwrap_or(HandInAnswer::Unknown)
     }
 
-    /// Passes on the reports of a relay. Returns false if the owner is gone.
+    /// Passes on the reports of a relay. Returns false if the owner has stopped.
     pub(crate) async fn report(&self, reports: Reports) -> bool {
         let (reply, answer) = oneshot::channel();
         let sent = self.events.send(Event::RelayReports(reports, reply)).await;
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -101,7 +101,8 @@
     async fn spec(digest: SpecDigest) -> Option<Arc<str>>;
     /// To the owner: the caller offers to relay orders, or sends its heartbeat as a relay.
     async fn enlist(offer: Offer) -> Reply;
-    /// To a relay: send these orders to their workers. False if it serves a newer owner.
+    /// To a relay: send these orders to their workers. False if the relay already serves a
+    /// newer owner.
     async fn submit(request: RelayRequest) -> bool;
     /// To the owner: outcomes of its orders. False if the node does not own the cell any more.
     async fn report(reports: Reports) -> bool;
@@ -242,7 +243,7 @@
         answer.await.ok()?
     }
 
-    /// `None` without an answer: the job may be accepted already, or be accepted later.
+    /// `None` if there is no answer: the job may be accepted already, or be accepted later.
     pub(crate) async fn hand_in(
         &self,
         record: Bytes,
--- a/crates/node/src/relay_request.rs
+++ b/crates/node/src/relay_request.rs
@@ -170,8 +170,8 @@
         /// Size of the names and numbers of a report, and of each row of a poll.
         const ROW_SIZE: usize = 60;
         match self {
-            Self::Polled(_, _, Ok(look)) => ROW_SIZE * (1 + look.running.len() + look.ended.len()),
-            Self::Delta(_, _, look) => ROW_SIZE * (1 + look.rows.len() + look.ended.len()),
+            Self::Polled(_, _, Ok(poll)) => ROW_SIZE * (1 + poll.running.len() + poll.ended.len()),
+            Self::Delta(_, _, delta) => ROW_SIZE * (1 + delta.rows.len() + delta.ended.len()),
             Self::Polled(..) | Self::Started(..) | Self::Paced(..) => ROW_SIZE,
         }
     }
--- a/crates/node/src/relay_server.rs
+++ b/crates/node/src/relay_server.rs
@@ -89,7 +89,7 @@
 }
 
 impl RelayServer {
-    /// Creates a relay that has no owner yet.
+    /// Creates a relay that does not serve any owner yet.
     pub(crate) fn new(shared: Arc<Shared>) -> Self {
         Self {
             fetcher: SpecFetcher::new(shared.clone()),
@@ -200,15 +200,15 @@
 ) {
     let limit = OWNER_TIMEOUT + shared.settings.link.queue_time();
     let mut link = None;
-    let mut folded = DeltaEncoder::default();
+    let mut encoder = DeltaEncoder::default();
     while let Some(first) = queue.recv().await {
         let mut size = first.size();
-        let mut reports = vec![fold_poll(&shared, &mut folded, first)];
+        let mut reports = vec![encode_poll(&shared, &mut encoder, first)];
         while size < MAX_MESSAGE_SIZE
             && let Ok(next) = queue.try_recv()
         {
             size += next.size();
-            reports.push(fold_poll(&shared, &mut folded, next));
+            reports.push(encode_poll(&shared, &mut encoder, next));
         }
         let message = Reports {
             epoch,
@@ -232,17 +232,17 @@
             }
         }
         if !arrived {
-            folded.clear();
+            encoder.clear();
         }
     }
 }
 
 /// Reduces a poll result to a delta to what the owner was sent before.
-fn fold_poll(shared: &Shared, folded: &mut DeltaEncoder, report: Report) -> Report {
+fn encode_poll(shared: &Shared, encoder: &mut DeltaEncoder, report: Report) -> Report {
     match report {
-        Report::Polled(worker, number, Ok(look)) => {
-            let seen = folded.encode(shared.clock.now(), &worker, number, look);
-            Report::Delta(worker, number, seen)
+        Report::Polled(worker, number, Ok(status)) => {
+            let delta = encoder.encode(shared.clock.now(), &worker, number, status);
+            Report::Delta(worker, number, delta)
         }
         other => other,
     }
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -24,7 +24,7 @@
 /// return a single record without the pause; with it, a read returns about ten.
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
-/// Follows the roster until the owner is gone.
+/// Follows the roster until the owner has stopped.
 pub(crate) async fn follow(shared: Arc<Shared>, events: mpsc::Sender<Event>) {
     let mut known = Set::default();
     let mut lost = false;
@@ -64,11 +64,11 @@
             publish(events, known, KeyedRecord::new(item.key, item.value)).await;
         }
         if !page.more {
-            let gone: Vec<WorkerId> = known.difference(&listed).cloned().collect();
-            for id in gone {
+            let removed: Vec<WorkerId> = known.difference(&listed).cloned().collect();
+            for id in removed {
                 publish(events, known, KeyedRecord::tombstone(id.as_str())).await;
             }
-            // The receiver has received every entry before this event.
+            // The channel keeps the order, so the owner receives every entry before this event.
             let _ = events.send(Event::RosterComplete).await;
             return Ok(from);
         }
@@ -128,6 +128,6 @@
             Event::WorkerRemoved(id)
         }
     };
-    // The owner may be gone; the events channel is then closed.
+    // The owner may have stopped; the events channel is then closed.
     let _ = events.send(event).await;
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -26,19 +26,20 @@
 pub struct Settings {
     /// This node's name, unique among all nodes.
     pub node: NodeName,
-    /// Its data centre.
+    /// The node's data centre.
     pub zone: ZoneName,
     /// CPU available to the node, in cores. Nodes with more claim the ownership first.
     #[serde(default = "one_core")]
     pub cores: f64,
-    /// Rate of its network link, in Mbit/s. Timeouts and the amount of data in flight depend on it.
+    /// Rate of the node's network link, in Mbit/s. Timeouts and the amount of data in flight depend
+    /// on it.
     #[serde(default, rename = "link_mbps")]
     pub link: LinkRate,
-    /// Memory that the node may use, in MiB. It leaves a cell whose state is too large to other
-    /// nodes.
+    /// Memory that the node may use, in MiB. If the cell's state is too large for it, the node
+    /// leaves the cell to other nodes.
     #[serde(default = "much_memory", rename = "memory_mb")]
     pub memory: u64,
-    /// Addresses it listens on.
+    /// Addresses that the node listens on.
     pub listen: Listen,
     /// Address of the platform's store.
     pub store: SocketAddr,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
-    /// Random number that identifies this process among all runs of the node.
+    /// Random number that identifies this process among all incarnations of the node.
     pub(crate) life: u64,
     pub(crate) clock: Clock,
     pub(crate) store: StoreClient,
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -67,7 +67,7 @@
         /// Largest size that this node accepts, in bytes.
         limit: usize,
     },
-    /// A record cannot be decoded. Continuing without it would run work twice.
+    /// A record cannot be decoded. Continuing without it would run tasks twice.
     #[error("journal of job {0}: {1}")]
     Record(JobId, DecodeError),
 }
@@ -163,7 +163,7 @@
         cell.restore(now, id, record);
     }
     for item in intake {
-        // A cancelled job stays cancelled, whatever the record of an earlier owner says.
+        // A cancelled job stays cancelled, whatever state an earlier owner recorded.
         if let Some(IntakeKey::Cancelled(id)) = IntakeKey::parse(&item.key) {
             cell.cancel(now, id);
         }
@@ -193,7 +193,7 @@
 
 /// Reads what earlier owners have recorded of instances: the maintenance history and the orders.
 async fn read_instances(shared: &Shared) -> (History, Option<Vec<(InstanceName, OrderRecord)>>) {
-    let ((maintained, _), (begun, _)) =
+    let ((maintained, _), (waves, _)) =
         tokio::join!(read_newest(shared, MAINTAINED), read_newest(shared, WAVES));
     // The orders are read last, once the store has answered the other reads. During an outage of
     // the whole store each partition of the orders would count as unreadable, and no instance
@@ -202,7 +202,7 @@
     let maintained = maintained.iter().filter_map(|i| read_maintained(&i.key));
     let history = History {
         maintained: maintained.collect(),
-        wave_starts: begun
+        wave_starts: waves
             .iter()
             .filter_map(|i| read_wave_start(shared, i))
             .collect(),
@@ -282,13 +282,17 @@
 
 /// Reads the newest record of each key in a partition, and the partition's end offset as of the
 /// first page. If the read of a page fails, only that page is read again.
-async fn read_newest(shared: &Shared, of: Partition) -> (Vec<Item>, u64) {
+async fn read_newest(shared: &Shared, partition: Partition) -> (Vec<Item>, u64) {
     let mut items: Vec<Item> = Vec::new();
     let mut end = None;
     let limit = STORE_TIMEOUT + page_time(shared.settings.link);
     loop {
         let after = items.last().map(|i| i.key.clone());
-        match shared.store.newest(of, after.as_deref(), limit).await {
+        match shared
+            .store
+            .newest(partition, after.as_deref(), limit)
+            .await
+        {
             Ok(page) => {
                 let first = *end.get_or_insert(page.end);
                 items.extend(page.items);
@@ -298,7 +302,8 @@
             }
             Err(e) => {
                 log::info!(
-                    topic = of.topic, part = of.part, read = items.len() as u64, error:% = e;
+                    topic = partition.topic, part = partition.part, read = items.len() as u64,
+                    error:% = e;
                     "takeover cannot read from the store yet; retrying"
                 );
                 sleep(RETRY_PAUSE).await;
--- a/crates/node/src/topics.rs
+++ b/crates/node/src/topics.rs
@@ -40,7 +40,7 @@
     part: 0,
 };
 
-/// When each maintenance wave was first seen, in milliseconds since 1970, keyed by its number.
+/// When each maintenance wave began, in milliseconds since 1970, keyed by its number.
 pub(crate) const WAVES: Partition = Partition {
     topic: "keyed.waves",
     part: 0,
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -60,7 +60,7 @@
         );
     };
     match own.job_view(id).await {
-        Some(story) => json(StatusCode::OK, &story),
+        Some(view) => json(StatusCode::OK, &view),
         None => text(StatusCode::NOT_FOUND, "no such job"),
     }
 }
--- a/crates/relay/src/offer.rs
+++ b/crates/relay/src/offer.rs
@@ -38,6 +38,7 @@
     Enough,
     /// The owner does not know the number of workers yet; the node should offer again soon.
     NotYet,
-    /// The node that received the offer does not own the cell, or not yet.
+    /// The node that received the offer does not own the cell, or has not finished its
+    /// takeover.
     NotOwner,
 }
--- a/crates/relay/src/poll_delta.rs
+++ b/crates/relay/src/poll_delta.rs
@@ -164,7 +164,7 @@
         })
     }
 
-    /// Forgets a worker that is gone.
+    /// Forgets a worker that is no longer listed.
     pub fn forget(&mut self, worker: &WorkerId) {
         self.workers.remove(worker);
     }
--- a/crates/relay/src/relays.rs
+++ b/crates/relay/src/relays.rs
@@ -237,7 +237,7 @@
         Some(node.clone())
     }
 
-    /// Removes the assignment of a worker that is gone or needs another relay.
+    /// Removes the assignment of a worker that is no longer listed or needs another relay.
     pub fn forget(&mut self, worker: &WorkerId) {
         self.direct.remove(worker);
         let Some(assignment) = self.assignments.remove(worker) else {
