--- a/crates/node/src/election.rs
+++ b/crates/node/src/election.rs
@@ -437,8 +437,8 @@
                 let claimed = self.claims.for_epoch(o.epoch);
                 Role::Owner {
                     epoch: o.epoch,
-                    exclusive: claimed.is_some_and(|c| c.exclusive),
-                    predecessor: claimed.and_then(|c| c.predecessor),
+                    alone: claimed.is_some_and(|c| c.exclusive),
+                    before: claimed.and_then(|c| c.predecessor),
                 }
             }
             _ => Role::Idle,
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -38,13 +38,13 @@
         let current = *role.borrow_and_update();
         if let Role::Owner {
             epoch,
-            exclusive,
-            predecessor,
+            alone,
+            before,
         } = current
         {
             let mut changed = role.clone();
             tokio::select! {
-                () = run_cell(shared.clone(), epoch, exclusive, predecessor) => {
+                () = run_cell(shared.clone(), epoch, alone, before) => {
                     // Without this, the node would keep renewing its ownership although it no
                     // longer runs the cell: jobs would stall and no other node would take over.
                     // Claiming the ownership again under the next epoch either takes the cell
@@ -66,14 +66,9 @@
 
 /// Takes the cell over and runs it until a newer owner is detected, or until the cell turns out
 /// to be too large for this node.
-async fn run_cell(
-    shared: Arc<Shared>,
-    epoch: u64,
-    exclusive: bool,
-    predecessor: Option<LastOwner>,
-) {
+async fn run_cell(shared: Arc<Shared>, epoch: u64, alone: bool, before: Option<LastOwner>) {
     let takeover = loop {
-        match take_over(&shared, epoch, exclusive).await {
+        match take_over(&shared, epoch, alone).await {
             Ok(takeover) => break takeover,
             Err(e @ TakeoverError::Deposed) => {
                 log::warn!(epoch = epoch, error:% = e; "takeover abandoned");
@@ -118,7 +113,7 @@
             epoch,
             takeover.history,
             takeover.orders,
-            predecessor,
+            before,
         ),
         dispatcher: Dispatcher::new(shared.clone(), events.clone(), epoch),
         cell: takeover.cell,
--- a/crates/node/src/role.rs
+++ b/crates/node/src/role.rs
@@ -12,8 +12,8 @@
         /// Epoch of the ownership.
         epoch: u64,
         /// Whether earlier owners had stopped renewing leases when this node claimed the ownership.
-        exclusive: bool,
+        alone: bool,
         /// The previous owner.
-        predecessor: Option<LastOwner>,
+        before: Option<LastOwner>,
     },
 }
--- a/crates/node/src/takeover.rs
+++ b/crates/node/src/takeover.rs
@@ -84,11 +84,11 @@
     pub(crate) orders: Option<Vec<(InstanceName, OrderRecord)>>,
 }
 
-/// Takes the cell over under `epoch`. `exclusive` says that no earlier owner still renews leases.
+/// Takes the cell over under `epoch`. `alone` says that no earlier owner still renews leases.
 pub(crate) async fn take_over(
     shared: &Shared,
     epoch: u64,
-    exclusive: bool,
+    alone: bool,
 ) -> Result<Takeover, TakeoverError> {
     fence_off(shared, epoch).await?;
     // From here on the journal is complete: earlier owners cannot append to it any more.
@@ -112,7 +112,7 @@
     };
     let policy = shared.settings.policies.work.clone();
     let mut cell = Cell::new(cell_bounds(shared), epoch, config).with_policy(policy);
-    if !exclusive {
+    if !alone {
         cell.expect_previous_owner();
     }
     rebuild_cell(shared, &mut cell, &intake, &journal)?;
