--- a/crates/node/src/dispatcher.rs
+++ b/crates/node/src/dispatcher.rs
@@ -381,11 +381,11 @@
 }
 
 /// Expands a poll delta of a relay into a full poll result.
-fn expand_poll(known: &mut DeltaDecoder, node: &NodeName, report: Report) -> Report {
+fn expand_poll(decoder: &mut DeltaDecoder, node: &NodeName, report: Report) -> Report {
     let Report::Delta(worker, number, delta) = report else {
         return report;
     };
-    let status = known.decode(node, &worker, number, delta);
+    let status = decoder.decode(node, &worker, number, delta);
     let status =
         status.ok_or_else(|| PollError::Unknown("delta refers to a poll not received".into()));
     Report::Polled(worker, number, status)
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -282,9 +282,9 @@
 /// Records orders and then issues them, until this node no longer runs the cell.
 ///
 /// An append to the store can take a quarter of a second, and the store handles one at a time. If
-/// each plan appended its own orders, those of the first second of a queue would time out before
-/// they are recorded. The orders of all plans that arrive during an append are therefore recorded
-/// together in the next one.
+/// each plan appended its own orders, the appends would queue up, and the orders planned in the
+/// first second would time out before they are recorded. The orders of all plans that arrive
+/// during an append are therefore recorded together in the next one.
 async fn issue_orders(
     shared: Arc<Shared>,
     service: Arc<InstanceClient>,
