--- a/crates/node/src/intake_follower.rs
+++ b/crates/node/src/intake_follower.rs
@@ -106,8 +106,8 @@
 
 /// Reads the newest record of each key and returns the offset from which to continue.
 ///
-/// Used when the store has deleted records before they were read. The newest record of each key is enough,
-/// as intake records never change.
+/// Used when the store has deleted records before they were read. The newest record of each key is
+/// enough, as intake records never change.
 async fn reread(shared: &Shared, events: &mpsc::Sender<Event>, part: u32, from: u64) -> u64 {
     log::warn!(
         part = part, from = from;
